--- a/mfdemand/amount.go
+++ b/mfdemand/amount.go
@@ -34,9 +34,9 @@
 	return Amount{Cores: min(a.Cores, b.Cores), Memory: min(a.Memory, b.Memory)}
 }
 
-// Usable returns how many of an amount's cores work of a mix can use: memory may bind
+// UsableCores returns how many of an amount's cores work of a mix can use: memory may bind
 // before them.
-func (a Amount) Usable(mix Amount) float64 {
+func (a Amount) UsableCores(mix Amount) float64 {
 	if mix.Cores <= 0 || mix.Memory <= 0 || a.Memory <= 0 {
 		return a.Cores
 	}
--- a/mfdemand/demand.go
+++ b/mfdemand/demand.go
@@ -6,17 +6,17 @@
 type Demand struct {
 	// Arriving is what keeps up with the jobs that come now, Coming with those that
 	// come once machines could be there that are sent now.
-	Arriving, Coming Amount
-	// Busy is what tasks have that run and end by themselves.
-	Busy Amount
+	Arriving, Forecast Amount
+	// Running is what tasks have that run and end by themselves.
+	Running Amount
 	// ReadyWork is the work whose turn has come and that waits, in core-seconds and
 	// GiB-seconds, and Ready what it could use at once; both without what is hopeless.
 	ReadyWork, Ready Amount
-	// PromptWork is the part of ReadyWork that can still be in time, PromptReady that of
+	// OnTimeWork is the part of ReadyWork that can still be in time, PromptReady that of
 	// Ready.
-	PromptWork, PromptReady Amount
+	OnTimeWork, OnTimeReady Amount
 	// Lasting is what lasting tasks ask for.
 	Lasting Amount
-	// Widest is the number of workers that the most spread lasting step needs.
-	Widest int
+	// MinWorkers is the number of workers that the most spread lasting step needs.
+	MinWorkers int
 }
--- a/mfduty/duty_test.go
+++ b/mfduty/duty_test.go
@@ -130,7 +130,7 @@
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
-		Demands: map[mothferry.ServiceID]mfdemand.Demand{"s": {Coming: mfdemand.Amount{Cores: 5 * 16 * 0.85}}},
+		Demands: map[mothferry.ServiceID]mfdemand.Demand{"s": {Forecast: mfdemand.Amount{Cores: 5 * 16 * 0.85}}},
 	}
 	w := mfsched.Wave{Wave: 1, Within: 60 * time.Second, AtOnce: 10}
 	for i := range 12 {
@@ -154,7 +154,7 @@
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
-		Demands: map[mothferry.ServiceID]mfdemand.Demand{"s": {Coming: mfdemand.Amount{Cores: 1000}}},
+		Demands: map[mothferry.ServiceID]mfdemand.Demand{"s": {Forecast: mfdemand.Amount{Cores: 1000}}},
 	}
 	w := mfsched.Wave{Wave: 1, Within: 47 * time.Second, AtOnce: 10}
 	for i := range 30 {
--- a/mfduty/move_test.go
+++ b/mfduty/move_test.go
@@ -95,7 +95,7 @@
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
-		Demands: map[mothferry.ServiceID]mfdemand.Demand{"a": {Widest: 3}},
+		Demands: map[mothferry.ServiceID]mfdemand.Demand{"a": {MinWorkers: 3}},
 	}
 	for i := range 6 {
 		m := up(mothferry.MachineID(fmt.Sprintf("m-%d", i)), mothferry.WorkerID(fmt.Sprintf("w-%d", i)))
--- a/mfpool/divide_test.go
+++ b/mfpool/divide_test.go
@@ -73,7 +73,7 @@
 	}
 	late := mfdemand.Demand{ReadyWork: mfdemand.Amount{Cores: 5000}, Ready: mfdemand.Amount{Cores: 5000}}
 	prompt := late
-	prompt.PromptWork, prompt.PromptReady = late.ReadyWork, late.Ready
+	prompt.OnTimeWork, prompt.OnTimeReady = late.ReadyWork, late.Ready
 	var s mfpool.Sizes
 	shares := mfpool.Divide(60, s.Claims(map[mothferry.ServiceID]mfpool.Pool{"late": pool(late), "prompt": pool(prompt)}, start))
 	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"late": 4, "prompt": 56})
--- a/mfpool/pool.go
+++ b/mfpool/pool.go
@@ -61,14 +61,14 @@
 // by returns the need if so much work waits, and could use so much at once.
 func (p Pool) by(ready, work mfdemand.Amount) Need {
 	d := p.Demand
-	at := d.Arriving.Max(d.Coming).Add(d.Lasting).Add(ready.Min(work.Times(1 / drainWithin)))
+	at := d.Arriving.Max(d.Forecast).Add(d.Lasting).Add(ready.Min(work.Times(1 / drainWithin)))
 	return Need{Cores: machines(at.Cores, p.Machine.Cores), Memory: machines(at.Memory, p.Machine.Memory)}
 }
 
 // claim returns what a pool asks for at this moment of a fleet that is too small.
 func (p Pool) claim() Claim {
-	floor := max(p.floor(), p.Demand.Widest)
-	prompt := p.by(p.Demand.PromptReady, p.Demand.PromptWork)
+	floor := max(p.floor(), p.Demand.MinWorkers)
+	prompt := p.by(p.Demand.OnTimeReady, p.Demand.OnTimeWork)
 	return Claim{Floor: floor, Prompt: max(floor, prompt.Cores, prompt.Memory), Need: p.need()}
 }
 
@@ -86,7 +86,7 @@
 		return p.Machines
 	}
 	n := p.Need()
-	return max(n.Cores, n.Memory, p.floor(), p.Demand.Widest)
+	return max(n.Cores, n.Memory, p.floor(), p.Demand.MinWorkers)
 }
 
 // floor returns how many machines a pool keeps without demand.
--- a/mfsched/demand.go
+++ b/mfsched/demand.go
@@ -27,7 +27,7 @@
 		demands[q.Service] = mfdemand.Demand{}
 	}
 	for service, a := range s.arrivals {
-		demands[service] = mfdemand.Demand{Arriving: a.Needed(now, 0), Coming: a.Needed(now, mfdemand.Lead)}
+		demands[service] = mfdemand.Demand{Arriving: a.Forecast(now, 0), Forecast: a.Forecast(now, mfdemand.ForecastHorizon)}
 	}
 	startable := s.startable(now)
 	for _, id := range slices.Sorted(maps.Keys(s.live)) {
@@ -94,13 +94,13 @@
 	case p.of.Lasting:
 		d.Lasting = d.Lasting.Add(room.Times(float64(p.open)))
 		if p.of.PerWorker > 0 {
-			d.Widest = max(d.Widest, (p.of.Count+p.of.PerWorker-1)/p.of.PerWorker)
+			d.MinWorkers = max(d.MinWorkers, (p.of.Count+p.of.PerWorker-1)/p.of.PerWorker)
 		}
 		return
 	case p.open == 0:
 		return
 	}
-	d.Busy = d.Busy.Add(room.Times(float64(p.open - p.waiting)))
+	d.Running = d.Running.Add(room.Times(float64(p.open - p.waiting)))
 	if prospect == prospectHopeless || p.waiting == 0 || !turnHasCome(o, p) {
 		return
 	}
@@ -108,7 +108,7 @@
 	work, ready := workOf(p.of).Times(may), room.Times(may)
 	d.ReadyWork, d.Ready = d.ReadyWork.Add(work), d.Ready.Add(ready)
 	if prospect == prospectInTime {
-		d.PromptWork, d.PromptReady = d.PromptWork.Add(work), d.PromptReady.Add(ready)
+		d.OnTimeWork, d.OnTimeReady = d.OnTimeWork.Add(work), d.OnTimeReady.Add(ready)
 	}
 }
 
--- a/mfsched/due.go
+++ b/mfsched/due.go
@@ -62,7 +62,7 @@
 	}
 	for id, mix := range byAccount {
 		if o := s.owed(id, mfdemand.Amount{}); o.Bounded {
-			limits[id] = o.Most.Usable(mix)
+			limits[id] = o.Most.UsableCores(mix)
 		}
 	}
 	rooms := map[mothferry.ServiceID]float64{}
@@ -71,7 +71,7 @@
 		for _, w := range workers {
 			sum = sum.Add(mfdemand.AmountOf(w.Capacity))
 		}
-		rooms[service] = mfshare.Packing * sum.Usable(mixes[service])
+		rooms[service] = mfshare.Packing * sum.UsableCores(mixes[service])
 	}
 	for flow, due := range mfshare.Divide(rooms, claims, limits) {
 		s.flows[flow].due = due
--- a/mfsched/forecast_test.go
+++ b/mfsched/forecast_test.go
@@ -44,7 +44,7 @@
 	late, off := 0.0, 0.0
 	for at := 3 * time.Second; at < 6*time.Second; at += 100 * time.Millisecond {
 		late += (demands[at].Arriving.Cores - 40*at.Seconds()) / 30
-		off += (demands[at].Coming.Cores - 40*(at.Seconds()+3)) / 30
+		off += (demands[at].Forecast.Cores - 40*(at.Seconds()+3)) / 30
 	}
 	assert.Assert(t, late < -10, "%.1f", late)
 	assert.Assert(t, off > -50 && off < 30, "%.1f", off)
@@ -56,7 +56,7 @@
 	demands := arrive(t, 20*time.Second, func(time.Duration) float64 { return 60 })
 	mean := 0.0
 	for at := 5 * time.Second; at < 20*time.Second; at += 100 * time.Millisecond {
-		mean += demands[at].Coming.Cores / 150
+		mean += demands[at].Forecast.Cores / 150
 	}
 	assert.Assert(t, mean > 45 && mean < 80, "%.1f", mean)
 }
@@ -65,6 +65,6 @@
 func TestFallingDemandIsForecast(t *testing.T) {
 	demands := arrive(t, 8*time.Second, func(at time.Duration) float64 { return 40 * max(0, 4-at.Seconds()) })
 	for at := 4 * time.Second; at < 8*time.Second; at += 100 * time.Millisecond {
-		assert.Assert(t, demands[at].Coming.Cores >= 0 && demands[at].Coming.Cores < 25, "%v: %.1f", at, demands[at].Coming.Cores)
+		assert.Assert(t, demands[at].Forecast.Cores >= 0 && demands[at].Forecast.Cores < 25, "%v: %.1f", at, demands[at].Forecast.Cores)
 	}
 }
--- a/mfsched/share_test.go
+++ b/mfsched/share_test.go
@@ -81,7 +81,7 @@
 	assert.DeepEqual(t, startsOf(s), map[mothferry.AccountID]int{"hot": 4})
 	d := s.state.Demands(s.now)[service]
 	assert.Equal(t, d.Ready.Cores, 0.0)
-	assert.Equal(t, d.Busy.Cores, 4.0)
+	assert.Equal(t, d.Running.Cores, 4.0)
 	s.state.Off = mothferry.FeaturesOff{mothferry.FeatureShares: true}
 	assert.Equal(t, s.state.Demands(s.now)[service].Ready.Cores, 36.0)
 }
--- a/mfshare/word.go
+++ b/mfshare/word.go
@@ -136,7 +136,7 @@
 		}
 		room.Cores -= s.Lasting[service].Cores
 		room.Memory -= s.Lasting[service].Memory
-		rooms[service] = max(0, Packing*room.Usable(mix))
+		rooms[service] = max(0, Packing*room.UsableCores(mix))
 	}
 	return rooms
 }
@@ -154,7 +154,7 @@
 	limits := map[mothferry.AccountID]float64{}
 	for id, mix := range mixes {
 		if a := s.Accounts[id]; a.Bounded {
-			limits[id] = max(0, a.Most.Usable(mix))
+			limits[id] = max(0, a.Most.UsableCores(mix))
 		}
 	}
 	return limits
