--- a/mfduty/duty.go
+++ b/mfduty/duty.go
@@ -29,30 +29,30 @@
 
 // Kinds of errands.
 const (
-	KindUpkeep Kind = "upkeep"
-	KindMove   Kind = "move"
+	KindMaintenance Kind = "upkeep"
+	KindMove        Kind = "move"
 )
 
 // phase is how far an errand is.
 type phase int
 
 const (
-	// phaseEmptying: the machine's worker gets no work and runs out of it.
-	phaseEmptying phase = iota
-	// phaseAsked: the platform was asked, and what it did is not known.
-	phaseAsked
-	// phaseAway: the platform took the machine down or moves it.
-	phaseAway
+	// phaseEvacuating: the machine's worker gets no work and runs out of it.
+	phaseEvacuating phase = iota
+	// phaseRequested: the platform was asked, and what it did is not known.
+	phaseRequested
+	// phaseAccepted: the platform took the machine down or moves it.
+	phaseAccepted
 )
 
-// errand is one machine on its way to upkeep or to another pool.
-type errand struct {
+// operation is one machine on its way to upkeep or to another pool.
+type operation struct {
 	call  Call
 	phase phase
 	// worker is the life that ends by it.
-	worker mothferry.WorkerID
-	since  time.Time
-	asked  time.Time
+	worker      mothferry.WorkerID
+	since       time.Time
+	requestedAt time.Time
 }
 
 // Call is what the platform is asked for.
@@ -67,8 +67,8 @@
 // Wave is a wave of upkeep under way.
 type Wave struct {
 	mfsched.Wave
-	// Begun is when it was first seen.
-	Begun time.Time
+	// StartedAt is when it was first seen.
+	StartedAt time.Time
 	// Done holds the machines that were taken down in it.
 	Done map[mothferry.MachineID]bool
 	// Completed says that all machines that are still there are done.
@@ -77,25 +77,25 @@
 
 // Times of errands.
 const (
-	// askAgain is the pause before a call without answer is repeated.
-	askAgain = 800 * time.Millisecond
-	// roundTakes is how long a wave's machines take from the choice until they
+	// retryInterval is the pause before a call without answer is repeated.
+	retryInterval = 800 * time.Millisecond
+	// machineTurnaround is how long a wave's machines take from the choice until they
 	// are back: they run empty, are down for two seconds, and are listed again.
-	roundTakes = 4 * time.Second
-	// paceMargin is left before a wave's deadline, for a takeover.
-	paceMargin = 3 * time.Second
-	// waitUntil is from which part of its largest number at a time on a wave no
+	machineTurnaround = 4 * time.Second
+	// deadlineMargin is left before a wave's deadline, for a takeover.
+	deadlineMargin = 3 * time.Second
+	// deferLimit is from which part of its largest number at a time on a wave no
 	// longer waits for pools: beyond it a delay could not be made up.
-	waitUntil = 0.6
-	// listedWithin is how soon after the answer to a call the list shows it; a
+	deferLimit = 0.6
+	// listDelay is how soon after the answer to a call the list shows it; a
 	// machine that is still up by then was taken down earlier.
-	listedWithin = time.Second
-	// emptyFor is how long a machine may take to run empty before another one
+	listDelay = time.Second
+	// evacuationTimeout is how long a machine may take to run empty before another one
 	// is tried; near a wave's deadline it is taken down with what still runs.
-	emptyFor = 6 * time.Second
-	// hurryBefore is how long before a wave's deadline short tasks are no
+	evacuationTimeout = 6 * time.Second
+	// evacuationCutoff is how long before a wave's deadline short tasks are no
 	// longer waited for.
-	hurryBefore = 4 * time.Second
+	evacuationCutoff = 4 * time.Second
 )
 
 // State is what is under way.
@@ -103,37 +103,37 @@
 	// Off holds the features that are switched off; it is set before the first plan.
 	Off mothferry.FeaturesOff
 	// Waves and Rooms, which are those of the last plan, are for reading.
-	Waves   map[mothferry.WaveID]*Wave
-	Rooms   map[mothferry.ServiceID]Room
-	errands map[mothferry.MachineID]*errand
-	// absent holds since when no list has shown a machine that is to be acted on.
-	absent map[mothferry.MachineID]time.Time
-	sizes  mfpool.Sizes
+	Waves      map[mothferry.WaveID]*Wave
+	PoolSizes  map[mothferry.ServiceID]PoolSize
+	operations map[mothferry.MachineID]*operation
+	// missingSince holds since when no list has shown a machine that is to be acted on.
+	missingSince map[mothferry.MachineID]time.Time
+	sizer        mfpool.Sizes
 }
 
 // New returns a state with nothing under way.
 func New() *State {
-	return &State{Waves: map[mothferry.WaveID]*Wave{}, errands: map[mothferry.MachineID]*errand{}, absent: map[mothferry.MachineID]time.Time{}}
+	return &State{Waves: map[mothferry.WaveID]*Wave{}, operations: map[mothferry.MachineID]*operation{}, missingSince: map[mothferry.MachineID]time.Time{}}
 }
 
-// Ask takes in a wave that the operator asks for. One that is known keeps what
+// AddWave takes in a wave that the operator asks for. One that is known keeps what
 // was done in it.
-func (s *State) Ask(w mfsched.Wave, now time.Time) {
+func (s *State) AddWave(w mfsched.Wave, now time.Time) {
 	if known, ok := s.Waves[w.Wave]; ok {
 		known.Wave = w
 		return
 	}
-	s.Waves[w.Wave] = &Wave{Wave: w, Begun: now, Done: map[mothferry.MachineID]bool{}}
+	s.Waves[w.Wave] = &Wave{Wave: w, StartedAt: now, Done: map[mothferry.MachineID]bool{}}
 }
 
-// Restore takes in what an earlier owner did in a wave.
-func (s *State) Restore(id mothferry.WaveID, begun time.Time, done []mothferry.MachineID) {
+// RestoreWave takes in what an earlier owner did in a wave.
+func (s *State) RestoreWave(id mothferry.WaveID, begun time.Time, done []mothferry.MachineID) {
 	w, ok := s.Waves[id]
 	if !ok {
 		w = &Wave{Wave: mfsched.Wave{Wave: id}, Done: map[mothferry.MachineID]bool{}}
 		s.Waves[id] = w
 	}
-	w.Begun = begun
+	w.StartedAt = begun
 	for _, m := range done {
 		w.Done[m] = true
 	}
@@ -145,28 +145,28 @@
 	for _, m := range f.Machines {
 		listed[m.Machine] = m
 	}
-	s.noteAbsent(listed, now)
-	s.settle(listed, now)
+	s.updateMissing(listed, now)
+	s.finishOperations(listed, now)
 	room := s.planMoves(f, now)
-	for _, id := range s.waves() {
+	for _, id := range s.wavesByDeadline() {
 		room -= s.planWave(s.Waves[id], listed, f, room, now)
 	}
-	return s.due(f, listed, now)
+	return s.dueCalls(f, listed, now)
 }
 
-// noteAbsent keeps since when machines are not listed.
-func (s *State) noteAbsent(listed map[mothferry.MachineID]mothferry.Machine, now time.Time) {
+// updateMissing keeps since when machines are not listed.
+func (s *State) updateMissing(listed map[mothferry.MachineID]mothferry.Machine, now time.Time) {
 	note := func(id mothferry.MachineID) {
 		_, there := listed[id]
-		_, known := s.absent[id]
+		_, known := s.missingSince[id]
 		switch {
 		case there:
-			delete(s.absent, id)
+			delete(s.missingSince, id)
 		case !known:
-			s.absent[id] = now
+			s.missingSince[id] = now
 		}
 	}
-	for id := range s.errands {
+	for id := range s.operations {
 		note(id)
 	}
 	for _, w := range s.Waves {
@@ -176,35 +176,35 @@
 	}
 }
 
-// gone reports whether a machine is not listed any more: a single list may lack it.
-func (s *State) gone(id mothferry.MachineID, now time.Time) bool {
-	since, absent := s.absent[id]
-	return absent && now.Sub(since) >= absentFor
+// removed reports whether a machine is not listed any more: a single list may lack it.
+func (s *State) removed(id mothferry.MachineID, now time.Time) bool {
+	since, absent := s.missingSince[id]
+	return absent && now.Sub(since) >= missingTimeout
 }
 
-// settle ends the errands of machines that are back, or gone.
-func (s *State) settle(listed map[mothferry.MachineID]mothferry.Machine, now time.Time) {
-	for id, e := range s.errands {
+// finishOperations ends the errands of machines that are back, or gone.
+func (s *State) finishOperations(listed map[mothferry.MachineID]mothferry.Machine, now time.Time) {
+	for id, e := range s.operations {
 		m, there := listed[id]
 		same := there && m.State == mothferry.MachineUp && m.Worker == e.worker
 		switch {
 		case !there:
-			if s.gone(id, now) {
-				delete(s.errands, id)
+			if s.removed(id, now) {
+				delete(s.operations, id)
 			}
-		case e.phase == phaseAway && m.State == mothferry.MachineUp && (!same || now.Sub(e.since) > listedWithin):
-			delete(s.errands, id)
-		case e.phase == phaseEmptying && !same:
+		case e.phase == phaseAccepted && m.State == mothferry.MachineUp && (!same || now.Sub(e.since) > listDelay):
+			delete(s.operations, id)
+		case e.phase == phaseEvacuating && !same:
 			// Its worker crashed, or somebody else acted on it: begin anew.
-			delete(s.errands, id)
-		case e.phase == phaseEmptying && now.Sub(e.since) > emptyFor:
-			delete(s.errands, id)
+			delete(s.operations, id)
+		case e.phase == phaseEvacuating && now.Sub(e.since) > evacuationTimeout:
+			delete(s.operations, id)
 		}
 	}
 }
 
-// waves returns the waves in the order of their deadlines.
-func (s *State) waves() []mothferry.WaveID {
+// wavesByDeadline returns the waves in the order of their deadlines.
+func (s *State) wavesByDeadline() []mothferry.WaveID {
 	var ids []mothferry.WaveID
 	for id := range s.Waves {
 		ids = append(ids, id)
@@ -216,7 +216,7 @@
 }
 
 // Deadline is when all machines of the wave should have had their upkeep.
-func (w *Wave) Deadline() time.Time { return w.Begun.Add(w.Within) }
+func (w *Wave) Deadline() time.Time { return w.StartedAt.Add(w.Within) }
 
 // planWave takes machines of a wave, as many as pools can do without, or as the
 // wave's deadline asks for. It returns how many it takes.
@@ -228,14 +228,14 @@
 	busy, open, slowBusy := 0, 0, 0
 	for _, id := range w.Machines {
 		m := listed[id]
-		if s.gone(id, now) {
+		if s.removed(id, now) {
 			continue
 		}
-		e, underWay := s.errands[id]
+		e, underWay := s.operations[id]
 		switch {
-		case underWay && e.call.Kind == KindUpkeep && e.call.Wave == w.Wave.Wave:
+		case underWay && e.call.Kind == KindMaintenance && e.call.Wave == w.Wave.Wave:
 			busy++
-			if e.phase == phaseEmptying && f.Loads[m.Worker].Lasting > 0 {
+			if e.phase == phaseEvacuating && f.Loads[m.Worker].Lasting > 0 {
 				slowBusy++
 			}
 		case m.State == mothferry.MachineUpkeep, f.Blocked[id] && !w.Done[id]:
@@ -255,16 +255,16 @@
 		w.Completed = true
 		return 0
 	}
-	most := min(w.AtOnce, max(busy+max(room, 0), w.pace(open, now)))
-	taken := s.takeDown(w, left, f, most-busy, now)
+	most := min(w.AtOnce, max(busy+max(room, 0), w.minParallel(open, now)))
+	taken := s.startMaintenance(w, left, f, most-busy, now)
 	// Those without lasting tasks came first: what they left room for counts too.
-	slowMost := min(w.slowPace(len(slow)+slowBusy, now)-slowBusy, w.AtOnce-busy-taken)
-	return taken + s.takeDown(w, slow, f, slowMost, now)
+	slowMost := min(w.minParallelEvacuations(len(slow)+slowBusy, now)-slowBusy, w.AtOnce-busy-taken)
+	return taken + s.startMaintenance(w, slow, f, slowMost, now)
 }
 
-// takeDown makes errands of some machines of a wave, those first of which least is
+// startMaintenance makes errands of some machines of a wave, those first of which least is
 // lost. It returns how many it made.
-func (s *State) takeDown(w *Wave, machines []mothferry.Machine, f Fleet, most int, now time.Time) int {
+func (s *State) startMaintenance(w *Wave, machines []mothferry.Machine, f Fleet, most int, now time.Time) int {
 	taken := 0
 	slices.SortFunc(machines, func(a, b mothferry.Machine) int {
 		return cmp.Or(f.Loads[a.Worker].Compare(f.Loads[b.Worker]), cmp.Compare(a.Machine, b.Machine))
@@ -273,55 +273,55 @@
 		if taken >= most {
 			break
 		}
-		if _, underWay := s.errands[m.Machine]; underWay {
+		if _, underWay := s.operations[m.Machine]; underWay {
 			continue
 		}
 		taken++
-		s.errands[m.Machine] = &errand{
-			call:   Call{Kind: KindUpkeep, Machine: m.Machine, Wave: w.Wave.Wave},
+		s.operations[m.Machine] = &operation{
+			call:   Call{Kind: KindMaintenance, Machine: m.Machine, Wave: w.Wave.Wave},
 			worker: m.Worker, since: now,
 		}
 	}
 	return taken
 }
 
-// slowPace is how many machines with lasting tasks must be emptied at a time for all
+// minParallelEvacuations is how many machines with lasting tasks must be emptied at a time for all
 // of them to be done before the wave's deadline. A step lets few of its tasks be away
 // at a time, so that these machines empty one after the other however many are free
 // to go: left to the end, some are late.
-func (w *Wave) slowPace(machines int, now time.Time) int {
-	left := w.Deadline().Sub(now) - roundTakes - paceMargin
-	if left <= emptyFor {
+func (w *Wave) minParallelEvacuations(machines int, now time.Time) int {
+	left := w.Deadline().Sub(now) - machineTurnaround - deadlineMargin
+	if left <= evacuationTimeout {
 		return machines
 	}
-	return int(math.Ceil(float64(machines) * float64(emptyFor) / float64(left)))
+	return int(math.Ceil(float64(machines) * float64(evacuationTimeout) / float64(left)))
 }
 
-// pace is how many machines of a wave must be away at a time, whatever pools
+// minParallel is how many machines of a wave must be away at a time, whatever pools
 // miss, for all that are open to be done before its deadline; 0 while that leaves
 // time to wait.
-func (w *Wave) pace(open int, now time.Time) int {
-	left := w.Deadline().Sub(now) - roundTakes - paceMargin
-	if left <= roundTakes {
+func (w *Wave) minParallel(open int, now time.Time) int {
+	left := w.Deadline().Sub(now) - machineTurnaround - deadlineMargin
+	if left <= machineTurnaround {
 		return w.AtOnce
 	}
-	needed := float64(open) * float64(roundTakes) / float64(left)
-	if needed < waitUntil*float64(w.AtOnce) {
+	needed := float64(open) * float64(machineTurnaround) / float64(left)
+	if needed < deferLimit*float64(w.AtOnce) {
 		return 0
 	}
 	return int(math.Ceil(needed))
 }
 
-// due returns the calls for machines that are empty, and those that have had
+// dueCalls returns the calls for machines that are empty, and those that have had
 // no answer.
-func (s *State) due(f Fleet, listed map[mothferry.MachineID]mothferry.Machine, now time.Time) []Call {
+func (s *State) dueCalls(f Fleet, listed map[mothferry.MachineID]mothferry.Machine, now time.Time) []Call {
 	var calls []Call
-	for _, e := range s.errands {
+	for _, e := range s.operations {
 		m, there := listed[e.call.Machine]
 		switch {
-		case e.phase == phaseEmptying && there && s.mayCall(e, f, m, now),
-			e.phase == phaseAsked && now.Sub(e.asked) >= askAgain:
-			e.phase, e.asked = phaseAsked, now
+		case e.phase == phaseEvacuating && there && s.readyForCall(e, f, m, now),
+			e.phase == phaseRequested && now.Sub(e.requestedAt) >= retryInterval:
+			e.phase, e.requestedAt = phaseRequested, now
 			calls = append(calls, e.call)
 		}
 	}
@@ -329,11 +329,11 @@
 	return calls
 }
 
-// mayCall reports whether a machine may be taken: it stands by, or is known to
+// readyForCall reports whether a machine may be taken: it stands by, or is known to
 // be empty, or the wave's deadline is near and only short tasks run there, which
 // start again elsewhere. A new owner does not know at once what workers run.
-func (s *State) mayCall(e *errand, f Fleet, m mothferry.Machine, now time.Time) bool {
-	if f.Standby[m.Pool] || f.empty(e.worker) {
+func (s *State) readyForCall(e *operation, f Fleet, m mothferry.Machine, now time.Time) bool {
+	if f.Standby[m.Pool] || f.idle(e.worker) {
 		return true
 	}
 	load := f.Loads[e.worker]
@@ -341,7 +341,7 @@
 		return false
 	}
 	w, ok := s.Waves[e.call.Wave]
-	return ok && e.call.Kind == KindUpkeep && load.Lasting == 0 && w.Deadline().Sub(now) < hurryBefore
+	return ok && e.call.Kind == KindMaintenance && load.Lasting == 0 && w.Deadline().Sub(now) < evacuationCutoff
 }
 
 // Answer is how a call ended.
@@ -352,45 +352,45 @@
 	AnswerDone    Answer = "done"
 	AnswerRefused Answer = "refused"
 	AnswerUnknown Answer = "unknown"
-	// AnswerDeclined: the platform had too many calls, and did nothing.
-	AnswerDeclined Answer = "declined"
+	// AnswerThrottled: the platform had too many calls, and did nothing.
+	AnswerThrottled Answer = "declined"
 )
 
-// Answered takes in the answer to a call. That a call is answered as done does
+// RecordAnswer takes in the answer to a call. That a call is answered as done does
 // not say that the life of a worker has ended by it: the machine may have been
 // taken down before. Only the list of machines tells that.
-func (s *State) Answered(c Call, answer Answer, now time.Time) {
-	e, ok := s.errands[c.Machine]
+func (s *State) RecordAnswer(c Call, answer Answer, now time.Time) {
+	e, ok := s.operations[c.Machine]
 	if !ok || e.call != c {
 		return
 	}
 	switch answer {
 	case AnswerDone:
-		e.phase, e.since = phaseAway, now
-		if w, ok := s.Waves[c.Wave]; ok && c.Kind == KindUpkeep {
+		e.phase, e.since = phaseAccepted, now
+		if w, ok := s.Waves[c.Wave]; ok && c.Kind == KindMaintenance {
 			w.Done[c.Machine] = true
 		}
 	case AnswerRefused:
-		delete(s.errands, c.Machine)
-	case AnswerDeclined:
+		delete(s.operations, c.Machine)
+	case AnswerThrottled:
 		// The next round calls again; its machine is empty meanwhile.
 		if !s.Off[mothferry.FeatureRooms] {
-			e.phase, e.since = phaseEmptying, now
+			e.phase, e.since = phaseEvacuating, now
 		}
 	}
 }
 
-// Leaving returns the workers that are to run out of work.
-func (s *State) Leaving() map[mothferry.WorkerID]bool {
+// Evacuating returns the workers that are to run out of work.
+func (s *State) Evacuating() map[mothferry.WorkerID]bool {
 	leaving := map[mothferry.WorkerID]bool{}
-	for _, e := range s.errands {
+	for _, e := range s.operations {
 		leaving[e.worker] = true
 	}
 	return leaving
 }
 
-// Due returns the workers of machines that a wave has yet to take down.
-func (s *State) Due(machines []mothferry.Machine) map[mothferry.WorkerID]bool {
+// AwaitingMaintenance returns the workers of machines that a wave has yet to take down.
+func (s *State) AwaitingMaintenance(machines []mothferry.Machine) map[mothferry.WorkerID]bool {
 	workers := map[mothferry.MachineID]mothferry.WorkerID{}
 	for _, m := range machines {
 		workers[m.Machine] = m.Worker
--- a/mfduty/duty_test.go
+++ b/mfduty/duty_test.go
@@ -20,8 +20,8 @@
 	return mothferry.Machine{Machine: id, Worker: worker, Pool: "s", State: mothferry.MachineUp}
 }
 
-// off has the machines of these tests stand by, so that only waves act on them.
-var off = map[mothferry.ServiceID]bool{"s": true}
+// standbyOnly has the machines of these tests stand by, so that only waves act on them.
+var standbyOnly = map[mothferry.ServiceID]bool{"s": true}
 
 func wave(atOnce int, machines ...mothferry.MachineID) mfsched.Wave {
 	return mfsched.Wave{Wave: 1, Machines: machines, Within: 20 * time.Second, AtOnce: atOnce}
@@ -33,56 +33,56 @@
 // done because it was done already.
 // Cause: the answer alone was taken to mean that the worker's life is over, so
 // that the tasks of the new life were started elsewhere too.
-func TestAnswerAloneEndsNoLife(t *testing.T) {
+func TestDoneAnswerAloneEndsNoIncarnation(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1"), start)
+	s.AddWave(wave(1, "m-1"), start)
 	machines := []mothferry.Machine{up("m-1", "w-2")}
-	calls := s.Plan(mfduty.Fleet{Machines: machines, Standby: off}, start)
+	calls := s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start)
 	assert.Equal(t, len(calls), 1)
-	s.Answered(calls[0], mfduty.AnswerDone, start)
-	var lives mfduty.Lives
+	s.RecordAnswer(calls[0], mfduty.AnswerDone, start)
+	var lives mfduty.IncarnationTracker
 	for d := time.Duration(0); d < 3*time.Second; d += 300 * time.Millisecond {
-		assert.Equal(t, len(s.Plan(mfduty.Fleet{Machines: machines, Standby: off}, start.Add(d))), 0)
-		assert.Equal(t, len(lives.Over(machines, map[mothferry.WorkerID]mfsched.Load{"w-2": {Tasks: 2}}, start.Add(d))), 0)
+		assert.Equal(t, len(s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start.Add(d))), 0)
+		assert.Equal(t, len(lives.Ended(machines, map[mothferry.WorkerID]mfsched.Load{"w-2": {Tasks: 2}}, start.Add(d))), 0)
 	}
 	assert.Assert(t, s.Waves[1].Completed)
-	assert.Equal(t, len(s.Leaving()), 0)
+	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
 // More machines than the wave allows must not be down, also while the answer
 // to a call is not known.
-func TestWaveKeepsToItsBound(t *testing.T) {
+func TestWaveStaysWithinItsParallelLimit(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1", "m-2"), start)
+	s.AddWave(wave(1, "m-1", "m-2"), start)
 	machines := []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}
-	first := s.Plan(mfduty.Fleet{Machines: machines, Standby: off}, start)
+	first := s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start)
 	assert.Equal(t, len(first), 1)
-	s.Answered(first[0], mfduty.AnswerUnknown, start)
+	s.RecordAnswer(first[0], mfduty.AnswerUnknown, start)
 	for d := 300 * time.Millisecond; d < 4*time.Second; d += 300 * time.Millisecond {
-		for _, c := range s.Plan(mfduty.Fleet{Machines: machines, Standby: off}, start.Add(d)) {
+		for _, c := range s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start.Add(d)) {
 			assert.Equal(t, c.Machine, first[0].Machine)
 		}
 	}
 }
 
 // A wave must not count as completed, nor its machine as back, because a single list lacks the machine.
-func TestMachineThatOneListLacksIsNotGone(t *testing.T) {
+func TestMachineMissingFromOneListIsNotRemoved(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1", "m-2"), start)
+	s.AddWave(wave(1, "m-1", "m-2"), start)
 	all := []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}
 	now := start
 	plan := func(machines []mothferry.Machine) []mfduty.Call {
 		now = now.Add(300 * time.Millisecond)
-		return s.Plan(mfduty.Fleet{Machines: machines, Standby: off}, now)
+		return s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, now)
 	}
 	assert.Equal(t, len(plan(nil)), 0)
 	assert.Assert(t, !s.Waves[1].Completed, "nothing is done")
 	first := plan(all)
 	assert.Equal(t, len(first), 1)
-	s.Answered(first[0], mfduty.AnswerUnknown, now)
+	s.RecordAnswer(first[0], mfduty.AnswerUnknown, now)
 	assert.Equal(t, len(plan(all[1:])), 0, "the other one is begun while the first may be down")
 	assert.Equal(t, len(plan(all)), 0)
-	s.Answered(first[0], mfduty.AnswerDone, now)
+	s.RecordAnswer(first[0], mfduty.AnswerDone, now)
 	for range 5 {
 		assert.Equal(t, len(plan(nil)), 0)
 	}
@@ -91,16 +91,16 @@
 
 // A machine with work on it is emptied first. Another one keeps its pool going: the
 // last one would be left until the deadline asks for it.
-func TestBusyMachineIsEmptiedFirst(t *testing.T) {
+func TestBusyMachineIsEvacuatedFirst(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1"), start)
+	s.AddWave(wave(1, "m-1"), start)
 	machines := []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}
 	for i := range machines {
 		machines[i].Capacity = mothferry.Resources{Cores: 16000}
 	}
 	f := mfduty.Fleet{Machines: machines, Loads: map[mothferry.WorkerID]mfsched.Load{"w-1": {Known: true, Tasks: 1, Lasting: 1}}}
 	assert.Equal(t, len(s.Plan(f, start)), 0)
-	assert.Assert(t, s.Leaving()["w-1"])
+	assert.Assert(t, s.Evacuating()["w-1"])
 	f.Loads["w-1"] = mfsched.Load{Known: true}
 	assert.Equal(t, len(s.Plan(f, start.Add(time.Second))), 1)
 }
@@ -111,7 +111,7 @@
 // Cause: waves did not regard what pools are short of.
 func TestWaveWaitsWhilePoolsAreShort(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1"), start)
+	s.AddWave(wave(1, "m-1"), start)
 	f := mfduty.Fleet{
 		Machines: []mothferry.Machine{{Machine: "m-1", Worker: "w-1", Pool: "s", State: mothferry.MachineUp, Capacity: mothferry.Resources{Cores: 16000}}},
 		Demands:  map[mothferry.ServiceID]mfdemand.Demand{"s": {Arriving: mfdemand.Amount{Cores: 100}}},
@@ -143,14 +143,14 @@
 		f.Loads[m.Worker] = mfsched.Load{Known: true, Service: m.Pool}
 		w.Machines = append(w.Machines, m.Machine)
 	}
-	s.Ask(w, start)
+	s.AddWave(w, start)
 	// Six machines are needed, so six of twelve can be spared.
 	assert.Equal(t, len(s.Plan(f, start)), 6)
 }
 
 // A wave does not wait so long that it would have to have more machines away than
 // it may: then it takes an even part of them, though pools are short.
-func TestWaveKeepsItsPace(t *testing.T) {
+func TestWaveTakesMachinesInTimeForItsDeadline(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
@@ -164,7 +164,7 @@
 		f.Loads[m.Worker] = mfsched.Load{Known: true, Service: m.Pool}
 		w.Machines = append(w.Machines, m.Machine)
 	}
-	s.Ask(w, start)
+	s.AddWave(w, start)
 	assert.Equal(t, len(s.Plan(f, start)), 0, "three at a time would do")
 	assert.Equal(t, len(s.Plan(f, start.Add(21*time.Second))), 7, "30 machines of 4 s in 19 s")
 }
@@ -173,9 +173,9 @@
 // Events: an owner is killed, starts again and claims at once; it lists machines
 // before it has read the jobs and looked at the workers.
 // Cause: a worker of which nothing was known yet counted as empty.
-func TestUnknownWorkersAreNotEmpty(t *testing.T) {
+func TestUnknownWorkersAreNotIdle(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1"), start)
+	s.AddWave(wave(1, "m-1"), start)
 	f := mfduty.Fleet{Machines: []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}, Standby: map[mothferry.ServiceID]bool{"off": true}}
 	for d := time.Duration(0); d < 19*time.Second; d += 300 * time.Millisecond {
 		assert.Equal(t, len(s.Plan(f, start.Add(d))), 0)
@@ -187,11 +187,11 @@
 // Symptom guarded against: more machines of a wave are down than it allows.
 // Events: an owner asks for a machine and dies; its successor's list does not
 // show the machine as down yet.
-func TestFormerOwnersCallsCountForTheWave(t *testing.T) {
+func TestPreviousOwnersCallsCountForTheWave(t *testing.T) {
 	s := mfduty.New()
-	s.Ask(wave(1, "m-1", "m-2"), start)
+	s.AddWave(wave(1, "m-1", "m-2"), start)
 	f := mfduty.Fleet{
-		Machines: []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}, Standby: off,
+		Machines: []mothferry.Machine{up("m-1", "w-1"), up("m-2", "w-2")}, Standby: standbyOnly,
 		Blocked: map[mothferry.MachineID]bool{"m-1": true},
 	}
 	assert.Equal(t, len(s.Plan(f, start)), 0)
--- a/mfduty/move.go
+++ b/mfduty/move.go
@@ -22,8 +22,8 @@
 	Blocked map[mothferry.MachineID]bool
 }
 
-// empty reports whether a worker is known to run nothing.
-func (f Fleet) empty(worker mothferry.WorkerID) bool {
+// idle reports whether a worker is known to run nothing.
+func (f Fleet) idle(worker mothferry.WorkerID) bool {
 	l := f.Loads[worker]
 	return l.Known && l.Tasks == 0 && !l.Failing
 }
@@ -33,7 +33,7 @@
 // standby. It returns how many machines nobody needs now, on standby or in pools.
 func (s *State) planMoves(f Fleet, now time.Time) int {
 	pools := s.pools(f)
-	targets := s.sizes.Targets(pools, now)
+	targets := s.sizer.Targets(pools, now)
 	needed := map[mothferry.ServiceID]int{}
 	for id, t := range targets {
 		needed[id] = t.Now
@@ -41,29 +41,29 @@
 	if !s.Off[mothferry.FeatureRooms] {
 		s.divide(f, pools, targets, now)
 	}
-	s.Rooms = roomsOf(pools, needed, targets)
+	s.PoolSizes = poolSizes(pools, needed, targets)
 	keep := func(id mothferry.ServiceID) int { return targets[id].Keep }
-	needy := neediest(pools, targets)
-	s.supply(needy, pools, targets, s.freeMachines(f, pools, keep, slowLast), now)
+	needy := poolsByShortfall(pools, targets)
+	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, keep, slowLast), now)
 	// Pools that are still short take what others only keep for a lull.
-	s.supply(needy, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Now }, slowLast), now)
-	room := s.room(f, pools, targets)
+	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Now }, slowLast), now)
+	room := s.spareMachines(f, pools, targets)
 	home, ok := standbyPool(f.Standby)
 	if !ok {
 		return room
 	}
 	for _, m := range s.freeMachines(f, pools, keep, slowFirst) {
 		if !f.Standby[m.Pool] {
-			s.send(m, home, now)
+			s.startMove(m, home, now)
 		}
 	}
 	return room
 }
 
-// room counts the machines beyond what pools need; none while a pool is short. A
+// spareMachines counts the machines beyond what pools need; none while a pool is short. A
 // wave that takes more would be missed: in the first seconds of a turn the machines
 // on standby are those that are about to be sent.
-func (s *State) room(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) int {
+func (s *State) spareMachines(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) int {
 	room := 0
 	for id, p := range pools {
 		if p.Machines < targets[id].Now {
@@ -72,30 +72,30 @@
 		room += p.Machines - targets[id].Now
 	}
 	for _, m := range f.Machines {
-		if _, busy := s.errands[m.Machine]; f.Standby[m.Pool] && !busy && m.State == mothferry.MachineUp {
+		if _, busy := s.operations[m.Machine]; f.Standby[m.Pool] && !busy && m.State == mothferry.MachineUp {
 			room++
 		}
 	}
 	return room
 }
 
-// supply sends free machines to the pools that miss some.
-func (s *State) supply(needy []mothferry.ServiceID, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, free []mothferry.Machine, now time.Time) {
+// fillPools sends free machines to the pools that miss some.
+func (s *State) fillPools(needy []mothferry.ServiceID, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, free []mothferry.Machine, now time.Time) {
 	for _, id := range needy {
 		for pools[id].Machines < targets[id].Now && len(free) > 0 {
 			if free[0].Pool != id {
-				s.send(free[0], id, now)
-				transfer(pools, free[0].Pool, id)
+				s.startMove(free[0], id, now)
+				countMove(pools, free[0].Pool, id)
 			}
 			free = free[1:]
 		}
 	}
 }
 
-// transfer counts a machine for the pool that it goes to. It no longer counts for
+// countMove counts a machine for the pool that it goes to. It no longer counts for
 // the one that it leaves: a second round of the same plan would otherwise take
 // what that pool can spare once more, down to below its reserve.
-func transfer(pools map[mothferry.ServiceID]mfpool.Pool, from, to mothferry.ServiceID) {
+func countMove(pools map[mothferry.ServiceID]mfpool.Pool, from, to mothferry.ServiceID) {
 	if p, counted := pools[from]; counted {
 		p.Machines--
 		pools[from] = p
@@ -105,8 +105,8 @@
 	pools[to] = p
 }
 
-func (s *State) send(m mothferry.Machine, pool mothferry.ServiceID, now time.Time) {
-	s.errands[m.Machine] = &errand{call: Call{Kind: KindMove, Machine: m.Machine, Pool: pool}, worker: m.Worker, since: now}
+func (s *State) startMove(m mothferry.Machine, pool mothferry.ServiceID, now time.Time) {
+	s.operations[m.Machine] = &operation{call: Call{Kind: KindMove, Machine: m.Machine, Pool: pool}, worker: m.Worker, since: now}
 }
 
 // standbyPool returns the pool to which machines go that nobody needs.
@@ -132,7 +132,7 @@
 	for _, m := range f.Machines {
 		size = size.Max(mfdemand.AmountOf(m.Capacity))
 		id := m.Pool
-		e := s.errands[m.Machine]
+		e := s.operations[m.Machine]
 		if e != nil && e.call.Kind == KindMove {
 			id = e.call.Pool
 		}
@@ -140,7 +140,7 @@
 			continue
 		}
 		p := pools[id]
-		if f.counts(m, e) {
+		if f.usable(m, e) {
 			p.Machines++
 		}
 		pools[id] = p
@@ -156,12 +156,12 @@
 	return pools
 }
 
-// counts reports whether a machine is of use to its pool now or as soon as it has
+// usable reports whether a machine is of use to its pool now or as soon as it has
 // moved. One that is down, does not answer, or is emptied for its upkeep is not:
 // others take its place, as what runs there has to go somewhere.
-func (f Fleet) counts(m mothferry.Machine, e *errand) bool {
+func (f Fleet) usable(m mothferry.Machine, e *operation) bool {
 	switch {
-	case e != nil && e.call.Kind == KindUpkeep:
+	case e != nil && e.call.Kind == KindMaintenance:
 		return false
 	case m.State == mothferry.MachineUp:
 		return !f.Loads[m.Worker].Failing
@@ -179,10 +179,10 @@
 	}
 	var machines, free []mothferry.Machine
 	for _, m := range f.Machines {
-		if _, busy := s.errands[m.Machine]; busy || f.Blocked[m.Machine] || m.State != mothferry.MachineUp {
+		if _, busy := s.operations[m.Machine]; busy || f.Blocked[m.Machine] || m.State != mothferry.MachineUp {
 			continue
 		}
-		if f.Standby[m.Pool] || surplus[m.Pool] > 0 && f.empty(m.Worker) {
+		if f.Standby[m.Pool] || surplus[m.Pool] > 0 && f.idle(m.Worker) {
 			machines = append(machines, m)
 		}
 	}
@@ -196,17 +196,17 @@
 			free = append(free, m)
 		}
 	}
-	cut := cutOff(f)
+	cut := unreachableDataCentres(f)
 	slices.SortStableFunc(free, func(a, b mothferry.Machine) int {
 		return cmp.Or(cmp.Compare(cut[a.DataCentre], cut[b.DataCentre]),
-			rank(f.Standby[a.Pool])-rank(f.Standby[b.Pool]), order(f.Loads[a.Worker], f.Loads[b.Worker]), cmp.Compare(a.Machine, b.Machine))
+			standbyRank(f.Standby[a.Pool])-standbyRank(f.Standby[b.Pool]), order(f.Loads[a.Worker], f.Loads[b.Worker]), cmp.Compare(a.Machine, b.Machine))
 	})
 	return free
 }
 
-// cutOff tells of each data centre whether half of its workers do not
+// unreachableDataCentres tells of each data centre whether half of its workers do not
 // answer: it is cut off, and a machine of it that is moved would not be reached.
-func cutOff(f Fleet) map[mothferry.DataCentre]int {
+func unreachableDataCentres(f Fleet) map[mothferry.DataCentre]int {
 	all, out := map[mothferry.DataCentre]int{}, map[mothferry.DataCentre]int{}
 	for _, m := range f.Machines {
 		if l, known := f.Loads[m.Worker]; known {
@@ -238,15 +238,15 @@
 	return 0
 }
 
-func rank(standby bool) int {
+func standbyRank(standby bool) int {
 	if standby {
 		return 0
 	}
 	return 1
 }
 
-// neediest orders pools by how many machines they miss.
-func neediest(pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) []mothferry.ServiceID {
+// poolsByShortfall orders pools by how many machines they miss.
+func poolsByShortfall(pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) []mothferry.ServiceID {
 	var ids []mothferry.ServiceID
 	for id := range pools {
 		ids = append(ids, id)
--- a/mfduty/move_test.go
+++ b/mfduty/move_test.go
@@ -17,7 +17,7 @@
 // Events: the former owner had moved two thirds of the machines to the pool whose
 // turn it was; its successor sees that pool first with all of them.
 // Cause: a pool kept half of what it had when its owner first saw it.
-func TestTakeoverInATurnKeepsNoPeak(t *testing.T) {
+func TestTakeoverDuringPeakFollowsDemand(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
@@ -44,7 +44,7 @@
 // the jobs were late.
 // Cause: all machines waited until the former owner's last call was three seconds
 // old, though it had called few of them.
-func TestOnlyMachinesOfFormerCallsAreBlocked(t *testing.T) {
+func TestOnlyMachinesOfPreviousCallsAreBlocked(t *testing.T) {
 	s := mfduty.New()
 	off := map[mothferry.ServiceID]bool{"off": true}
 	f := mfduty.Fleet{
@@ -56,7 +56,7 @@
 		m.Pool, m.Capacity = "off", mothferry.Resources{Cores: 16000}
 		f.Machines = append(f.Machines, m)
 	}
-	s.Ask(wave(2, "m-1"), start)
+	s.AddWave(wave(2, "m-1"), start)
 	calls := s.Plan(f, start)
 	assert.Equal(t, len(calls), 1)
 	assert.Equal(t, calls[0].Machine, mothferry.MachineID("m-2"))
@@ -106,7 +106,7 @@
 		f.Machines = append(f.Machines, m)
 		f.Loads[m.Worker] = mfsched.Load{Known: true, Service: m.Pool, Tasks: 1, Lasting: 1}
 	}
-	s.Ask(wave(2, "m-0", "m-1"), start)
+	s.AddWave(wave(2, "m-0", "m-1"), start)
 	s.Plan(f, start)
 	to := map[mothferry.ServiceID]int{}
 	for _, c := range s.Plan(f, start.Add(200*time.Millisecond)) {
--- a/mfduty/room.go
+++ b/mfduty/room.go
@@ -7,8 +7,8 @@
 	"mothferry/mfpool"
 )
 
-// Room is how many machines a pool has and should have.
-type Room struct {
+// PoolSize is how many machines a pool has and should have.
+type PoolSize struct {
 	// Need is how many its demand asks for by each resource.
 	Need mfpool.Need
 	// Present counts those that are in it or on their way to it, Needed those that its
@@ -28,11 +28,11 @@
 	ResourceMemory Resource = "memory"
 )
 
-// Short is how many machines the pool misses of those that its demand asks for.
-func (r Room) Short() int { return max(0, r.Needed-r.Target) }
+// Shortfall is how many machines the pool misses of those that its demand asks for.
+func (r PoolSize) Shortfall() int { return max(0, r.Needed-r.Target) }
 
-// binding returns the resource that decides a need.
-func binding(need mfpool.Need, needed int) Resource {
+// bindingResource returns the resource that decides a need.
+func bindingResource(need mfpool.Need, needed int) Resource {
 	switch {
 	case need.Cores < needed && need.Memory < needed:
 		return ""
@@ -43,52 +43,52 @@
 	}
 }
 
-// roomsOf tells of all pools what was decided.
-func roomsOf(pools map[mothferry.ServiceID]mfpool.Pool, needed map[mothferry.ServiceID]int, targets map[mothferry.ServiceID]mfpool.Target) map[mothferry.ServiceID]Room {
-	rooms := map[mothferry.ServiceID]Room{}
+// poolSizes tells of all pools what was decided.
+func poolSizes(pools map[mothferry.ServiceID]mfpool.Pool, needed map[mothferry.ServiceID]int, targets map[mothferry.ServiceID]mfpool.Target) map[mothferry.ServiceID]PoolSize {
+	rooms := map[mothferry.ServiceID]PoolSize{}
 	for id, p := range pools {
 		n := p.Need()
-		rooms[id] = Room{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Now, Binding: binding(n, needed[id])}
+		rooms[id] = PoolSize{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Now, Binding: bindingResource(n, needed[id])}
 	}
 	return rooms
 }
 
 // Bounds of what is told of rooms.
 const (
-	// tellEvery is how often a pool's changes are told.
-	tellEvery = time.Second
-	// tellAtOnce is by which part of the last target, and at least tellLeast machines, a
+	// reportInterval is how often a pool's changes are told.
+	reportInterval = time.Second
+	// minReportFraction is by which part of the last target, and at least tellLeast machines, a
 	// target has to differ to be told at once.
-	tellAtOnce = 0.25
-	tellLeast  = 3
+	minReportFraction = 0.25
+	minReportMachines = 3
 )
 
-// RoomLog decides which changes of rooms are worth a line. The zero value is ready for use.
-type RoomLog struct {
-	told map[mothferry.ServiceID]toldRoom
+// PoolSizeLog decides which changes of rooms are worth a line. The zero value is ready for use.
+type PoolSizeLog struct {
+	reported map[mothferry.ServiceID]reportedSize
 }
 
-type toldRoom struct {
-	room Room
+type reportedSize struct {
+	size PoolSize
 	at   time.Time
 }
 
-// Due returns the rooms that are to be told of now: those whose target has changed by much,
+// Changed returns the rooms that are to be told of now: those whose target has changed by much,
 // and others that have changed once a second.
-func (l *RoomLog) Due(rooms map[mothferry.ServiceID]Room, now time.Time) map[mothferry.ServiceID]Room {
-	if l.told == nil {
-		l.told = map[mothferry.ServiceID]toldRoom{}
+func (l *PoolSizeLog) Changed(rooms map[mothferry.ServiceID]PoolSize, now time.Time) map[mothferry.ServiceID]PoolSize {
+	if l.reported == nil {
+		l.reported = map[mothferry.ServiceID]reportedSize{}
 	}
-	due := map[mothferry.ServiceID]Room{}
+	due := map[mothferry.ServiceID]PoolSize{}
 	for id, r := range rooms {
-		old, known := l.told[id]
-		change := max(r.Target-old.room.Target, old.room.Target-r.Target)
-		much := change >= tellLeast && float64(change) >= tellAtOnce*float64(old.room.Target)
-		other := r.Target != old.room.Target || r.Binding != old.room.Binding || r.Short() != old.room.Short()
-		if known && !much && (!other || now.Sub(old.at) < tellEvery) {
+		old, known := l.reported[id]
+		change := max(r.Target-old.size.Target, old.size.Target-r.Target)
+		much := change >= minReportMachines && float64(change) >= minReportFraction*float64(old.size.Target)
+		other := r.Target != old.size.Target || r.Binding != old.size.Binding || r.Shortfall() != old.size.Shortfall()
+		if known && !much && (!other || now.Sub(old.at) < reportInterval) {
 			continue
 		}
-		l.told[id] = toldRoom{room: r, at: now}
+		l.reported[id] = reportedSize{size: r, at: now}
 		due[id] = r
 	}
 	return due
--- a/mfduty/room_test.go
+++ b/mfduty/room_test.go
@@ -13,29 +13,29 @@
 )
 
 // Pools of two services on twenty machines, of which memory binds one.
-func TestRoomsTellWhatBinds(t *testing.T) {
+func TestPoolSizesNameBindingResource(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{Loads: map[mothferry.WorkerID]mfsched.Load{}, Demands: map[mothferry.ServiceID]mfdemand.Demand{
 		"a": {Arriving: mfdemand.Amount{Cores: 100, Memory: 10}}, "b": {Arriving: mfdemand.Amount{Cores: 10, Memory: 200}},
 		"c": {},
 	}}
-	f.Machines = fill("a", 20, mfsched.Load{Known: true}, f.Loads)
+	f.Machines = poolMachines("a", 20, mfsched.Load{Known: true}, f.Loads)
 	s.Plan(f, start)
-	assert.Equal(t, s.Rooms["a"].Binding, mfduty.ResourceCores)
-	assert.Equal(t, s.Rooms["b"].Binding, mfduty.ResourceMemory)
-	assert.Equal(t, s.Rooms["c"].Binding, mfduty.Resource(""))
-	assert.Equal(t, s.Rooms["b"].Needed, s.Rooms["b"].Need.Memory)
+	assert.Equal(t, s.PoolSizes["a"].Binding, mfduty.ResourceCores)
+	assert.Equal(t, s.PoolSizes["b"].Binding, mfduty.ResourceMemory)
+	assert.Equal(t, s.PoolSizes["c"].Binding, mfduty.Resource(""))
+	assert.Equal(t, s.PoolSizes["b"].Needed, s.PoolSizes["b"].Need.Memory)
 }
 
 // A target that wavers by one machine must not write a line a round.
-func TestRoomLogIsBounded(t *testing.T) {
-	var l mfduty.RoomLog
+func TestPoolSizeLogIsRateLimited(t *testing.T) {
+	var l mfduty.PoolSizeLog
 	lines := 0
 	for i := range 100 {
-		rooms := map[mothferry.ServiceID]mfduty.Room{"a": {Target: 20 + i%2, Needed: 20 + i%2}}
-		lines += len(l.Due(rooms, start.Add(time.Duration(i)*100*time.Millisecond)))
+		rooms := map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 20 + i%2, Needed: 20 + i%2}}
+		lines += len(l.Changed(rooms, start.Add(time.Duration(i)*100*time.Millisecond)))
 	}
 	assert.Assert(t, lines >= 5 && lines <= 11, "%d", lines)
-	assert.Equal(t, len(l.Due(map[mothferry.ServiceID]mfduty.Room{"a": {Target: 40}}, start.Add(10*time.Second))), 1)
-	assert.Equal(t, len(l.Due(map[mothferry.ServiceID]mfduty.Room{"a": {Target: 20}}, start.Add(10010*time.Millisecond))), 1)
+	assert.Equal(t, len(l.Changed(map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 40}}, start.Add(10*time.Second))), 1)
+	assert.Equal(t, len(l.Changed(map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 20}}, start.Add(10010*time.Millisecond))), 1)
 }
--- a/mfduty/short.go
+++ b/mfduty/short.go
@@ -7,17 +7,17 @@
 	"mothferry/mfpool"
 )
 
-// shortFrom is from how many times the fleet pools' needs are divided. They hold room for
+// divideThreshold is from how many times the fleet pools' needs are divided. They hold room for
 // work of several sizes and for a forecast that may be wrong; a fleet that is short by no
 // more is served in time by machines as they run empty, while each division moves some.
-const shortFrom = 2
+const divideThreshold = 2
 
 // divide cuts the targets down to the fleet if they add up to much more.
 func (s *State) divide(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, now time.Time) {
-	claims := s.sizes.Claims(pools, now)
+	claims := s.sizer.Claims(pools, now)
 	fleet, wanted := 0, 0
 	for _, m := range f.Machines {
-		_, busy := s.errands[m.Machine]
+		_, busy := s.operations[m.Machine]
 		if f.Standby[m.Pool] && m.State == mothferry.MachineUp && !busy && !f.Blocked[m.Machine] {
 			fleet++
 		}
@@ -26,7 +26,7 @@
 		fleet += p.Machines
 		wanted += targets[id].Now
 	}
-	if float64(wanted) <= shortFrom*float64(fleet) {
+	if float64(wanted) <= divideThreshold*float64(fleet) {
 		return
 	}
 	for id, share := range mfpool.Divide(fleet, claims) {
--- a/mfduty/short_test.go
+++ b/mfduty/short_test.go
@@ -14,8 +14,8 @@
 	"mothferry/mfsched"
 )
 
-// fill returns machines of a pool, each with a load.
-func fill(pool mothferry.ServiceID, count int, load mfsched.Load, loads map[mothferry.WorkerID]mfsched.Load) []mothferry.Machine {
+// poolMachines returns machines of a pool, each with a load.
+func poolMachines(pool mothferry.ServiceID, count int, load mfsched.Load, loads map[mothferry.WorkerID]mfsched.Load) []mothferry.Machine {
 	var machines []mothferry.Machine
 	for i := range count {
 		m := up(mothferry.MachineID(fmt.Sprintf("%s-%02d", pool, i)), mothferry.WorkerID(fmt.Sprintf("w-%s-%02d", pool, i)))
@@ -34,14 +34,14 @@
 	work := mfdemand.Amount{Cores: 1000}
 	d := mfdemand.Demand{Arriving: mfdemand.Amount{Cores: 500}, Ready: work, ReadyWork: work}
 	f.Demands = map[mothferry.ServiceID]mfdemand.Demand{"a": d, "b": d}
-	f.Machines = fill("a", 40, mfsched.Load{Known: true}, f.Loads)
+	f.Machines = poolMachines("a", 40, mfsched.Load{Known: true}, f.Loads)
 	return f
 }
 
-// settleMoves answers calls, and shows machines as moved at once.
-func settleMoves(s *mfduty.State, f *mfduty.Fleet, calls []mfduty.Call, now time.Time) {
+// completeMoves answers calls, and shows machines as moved at once.
+func completeMoves(s *mfduty.State, f *mfduty.Fleet, calls []mfduty.Call, now time.Time) {
 	for _, c := range calls {
-		s.Answered(c, mfduty.AnswerDone, now)
+		s.RecordAnswer(c, mfduty.AnswerDone, now)
 		for i := range f.Machines {
 			if m := &f.Machines[i]; m.Machine == c.Machine {
 				m.Pool, m.Worker = c.Pool, m.Worker+"-new"
@@ -64,7 +64,7 @@
 			assert.Equal(t, c.Pool, mothferry.ServiceID("b"))
 			assert.Equal(t, f.Loads[mothferry.WorkerID("w-"+string(c.Machine))].Tasks, 0)
 		}
-		settleMoves(s, &f, calls, now)
+		completeMoves(s, &f, calls, now)
 	}
 	assert.Assert(t, len(moves) >= 13 && len(moves) <= 20, "%d", len(moves))
 	for id, n := range moves {
@@ -81,15 +81,15 @@
 		f.Loads[id] = l
 	}
 	assert.Equal(t, len(s.Plan(f, start)), 0)
-	assert.Equal(t, len(s.Leaving()), 0)
+	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
 // With the feature off a short fleet stays where it is.
-func TestRoomsCanBeSwitchedOff(t *testing.T) {
+func TestDivisionCanBeDisabled(t *testing.T) {
 	s := mfduty.New()
 	s.Off = mothferry.FeaturesOff{mothferry.FeatureRooms: true}
 	s.Plan(shortFleet(), start)
-	assert.Equal(t, len(s.Leaving()), 0)
+	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
 // A slow machine must be the one that leaves to standby where the pool can spare one.
@@ -99,7 +99,7 @@
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
 		Demands: map[mothferry.ServiceID]mfdemand.Demand{"a": {Arriving: mfdemand.Amount{Cores: 50}}},
 	}
-	f.Machines = fill("a", 6, mfsched.Load{Known: true}, f.Loads)
+	f.Machines = poolMachines("a", 6, mfsched.Load{Known: true}, f.Loads)
 	f.Loads["w-a-05"] = mfsched.Load{Known: true, Service: "a", Speed: 0.2}
 	calls := s.Plan(f, start)
 	assert.Equal(t, len(calls), 1)
@@ -108,19 +108,19 @@
 
 // A machine that was asked for and never comes must not keep the others from moving, and is
 // asked for again.
-func TestMachineThatNeverComes(t *testing.T) {
+func TestUnansweredMoveIsRetried(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
 	calls := s.Plan(f, start.Add(150*time.Millisecond))
 	assert.Assert(t, len(calls) > 1)
 	lost := calls[0]
-	s.Answered(lost, mfduty.AnswerUnknown, start)
-	settleMoves(s, &f, calls[1:], start.Add(300*time.Millisecond))
+	s.RecordAnswer(lost, mfduty.AnswerUnknown, start)
+	completeMoves(s, &f, calls[1:], start.Add(300*time.Millisecond))
 	again := false
 	for d := 450 * time.Millisecond; d < 3*time.Second; d += 150 * time.Millisecond {
 		for _, c := range s.Plan(f, start.Add(d)) {
 			again = again || c == lost
-			s.Answered(c, mfduty.AnswerUnknown, start.Add(d))
+			s.RecordAnswer(c, mfduty.AnswerUnknown, start.Add(d))
 		}
 	}
 	assert.Assert(t, again)
@@ -128,27 +128,27 @@
 
 // A move that is refused as the machine is busy must not be lost: it or another machine is
 // sent as soon as it can be.
-func TestRefusedMoveIsMadeUpFor(t *testing.T) {
+func TestRefusedMoveIsRetried(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
 	calls := s.Plan(f, start.Add(150*time.Millisecond))
 	for _, c := range calls {
-		s.Answered(c, mfduty.AnswerRefused, start.Add(200*time.Millisecond))
+		s.RecordAnswer(c, mfduty.AnswerRefused, start.Add(200*time.Millisecond))
 	}
-	assert.Equal(t, len(s.Leaving()), 0)
+	assert.Equal(t, len(s.Evacuating()), 0)
 	assert.Equal(t, len(s.Plan(f, start.Add(300*time.Millisecond))), len(calls))
 }
 
 // A new owner must decide the same as one that was lost between deciding and asking: nothing
 // of a division but calls under way is kept anywhere else.
-func TestSuccessorDividesAnew(t *testing.T) {
+func TestSuccessorRepeatsDivision(t *testing.T) {
 	f := shortFleet()
 	lost := mfduty.New()
 	lost.Plan(f, start)
-	assert.Assert(t, len(lost.Leaving()) > 0)
+	assert.Assert(t, len(lost.Evacuating()) > 0)
 	successor := mfduty.New()
 	successor.Plan(f, start.Add(3*time.Second))
-	assert.DeepEqual(t, successor.Leaving(), lost.Leaving())
+	assert.DeepEqual(t, successor.Evacuating(), lost.Evacuating())
 }
 
 // Lists that fail must not have more machines asked for than those under way.
@@ -161,7 +161,7 @@
 }
 
 // Demand that wavers by a fifth every two seconds must not move machines back and forth.
-func TestWaveringDemandMovesNothing(t *testing.T) {
+func TestFluctuatingDemandMovesNothing(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
 	moves := 0
@@ -179,19 +179,19 @@
 		if i >= 30 {
 			moves += len(calls)
 		}
-		settleMoves(s, &f, calls, now)
+		completeMoves(s, &f, calls, now)
 	}
 	assert.Equal(t, moves, 0)
 }
 
 // Calls beyond the platform's rate must go out again in the next round, not a second later.
-func TestDeclinedMoveIsAskedForInTheNextRound(t *testing.T) {
+func TestThrottledMoveIsRetriedInTheNextRound(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
 	calls := s.Plan(f, start.Add(150*time.Millisecond))
 	assert.Assert(t, len(calls) > 1)
-	s.Answered(calls[0], mfduty.AnswerDeclined, start.Add(160*time.Millisecond))
-	settleMoves(s, &f, calls[1:], start.Add(160*time.Millisecond))
+	s.RecordAnswer(calls[0], mfduty.AnswerThrottled, start.Add(160*time.Millisecond))
+	completeMoves(s, &f, calls[1:], start.Add(160*time.Millisecond))
 	assert.DeepEqual(t, s.Plan(f, start.Add(300*time.Millisecond)), calls[:1])
 }
 
@@ -205,7 +205,7 @@
 			"a": {Arriving: mfdemand.Amount{Cores: 50}}, "b": {Arriving: mfdemand.Amount{Cores: 50}},
 		},
 	}
-	f.Machines = fill("a", 12, mfsched.Load{Known: true}, f.Loads)
+	f.Machines = poolMachines("a", 12, mfsched.Load{Known: true}, f.Loads)
 	f.Loads["w-a-03"] = mfsched.Load{Known: true, Service: "a", Speed: 0.2}
 	to := map[mothferry.ServiceID][]mothferry.MachineID{}
 	for _, c := range s.Plan(f, start) {
@@ -218,7 +218,7 @@
 
 // Guards against a slow machine that is the first to go to a pool in need of nearly all that another
 // one can spare.
-func TestSlowMachineIsTheLastThatAPoolInNeedGets(t *testing.T) {
+func TestSlowMachineIsLastToMoveToAShortPool(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Loads: map[mothferry.WorkerID]mfsched.Load{},
@@ -226,7 +226,7 @@
 			"a": {Arriving: mfdemand.Amount{Cores: 50}}, "b": {Arriving: mfdemand.Amount{Cores: 500}},
 		},
 	}
-	f.Machines = fill("a", 12, mfsched.Load{Known: true}, f.Loads)
+	f.Machines = poolMachines("a", 12, mfsched.Load{Known: true}, f.Loads)
 	f.Loads["w-a-03"] = mfsched.Load{Known: true, Service: "a", Speed: 0.2}
 	var moved []mothferry.MachineID
 	for _, c := range s.Plan(f, start) {
--- a/mfduty/slow_test.go
+++ b/mfduty/slow_test.go
@@ -19,7 +19,7 @@
 // first. Those with lasting tasks are left to the end, and their step lets one task be
 // away at a time.
 // Cause: machines that take long to empty were begun last.
-func TestMachinesWithLastingTasksAreBegunInTime(t *testing.T) {
+func TestMachinesWithLastingTasksAreEvacuatedInTime(t *testing.T) {
 	const machines, lasting = 30, 12
 	s := mfduty.New()
 	w := wave(10)
@@ -39,16 +39,16 @@
 		f.Loads[m.Worker] = load
 		w.Machines = append(w.Machines, m.Machine)
 	}
-	s.Ask(w, start)
+	s.AddWave(w, start)
 	back := map[mothferry.MachineID]time.Time{}
 	for d := time.Duration(0); d < w.Within; d += 150 * time.Millisecond {
 		now := start.Add(d)
 		returnMachines(f, back, now)
 		if d%(1500*time.Millisecond) == 0 {
-			moveOneTask(f, s.Leaving())
+			moveOneTask(f, s.Evacuating())
 		}
 		for _, c := range s.Plan(f, now) {
-			s.Answered(c, mfduty.AnswerDone, now)
+			s.RecordAnswer(c, mfduty.AnswerDone, now)
 			back[c.Machine] = now.Add(2 * time.Second)
 			setDown(f, c.Machine)
 		}
--- a/mfemulate/fleet.go
+++ b/mfemulate/fleet.go
@@ -126,7 +126,7 @@
 		for _, m := range w.machines {
 			machines = append(machines, mothferry.Machine{Machine: m.id, Pool: m.pool, State: m.state, Capacity: m.has, Worker: m.life})
 		}
-		for _, e := range o.lives.Over(machines, o.state.Loads(), w.now) {
+		for _, e := range o.lives.Ended(machines, o.state.Loads(), w.now) {
 			e.Asked = w.now
 			o.step(e)
 		}
@@ -137,10 +137,10 @@
 			return
 		}
 		calls := o.duty.Plan(mfduty.Fleet{Machines: machines, Loads: o.state.Loads(), Demands: o.state.Demands(w.now), Standby: w.Standby}, w.now)
-		o.step(mfsched.WorkersLeaving{Workers: o.duty.Leaving(), Due: o.duty.Due(machines)})
+		o.step(mfsched.WorkersLeaving{Workers: o.duty.Evacuating(), Due: o.duty.AwaitingMaintenance(machines)})
 		for _, c := range calls {
 			answer := w.moveMachine(c)
-			o.duty.Answered(c, answer, w.now)
+			o.duty.RecordAnswer(c, answer, w.now)
 			if w.Watch != nil {
 				w.Watch(w.Now(), mfsched.Decision{Message: "machine is asked for", Fields: map[string]any{"machine": c.Machine, "pool": c.Pool, "answer": answer}})
 			}
@@ -174,7 +174,7 @@
 	}
 	w.end(m)
 	m.life = ""
-	if c.Kind == mfduty.KindUpkeep {
+	if c.Kind == mfduty.KindMaintenance {
 		w.Figures.Upkeeps++
 		w.waves[c.Wave].done = append(w.waves[c.Wave].done, m.id)
 		m.state = mothferry.MachineUpkeep
@@ -202,14 +202,14 @@
 		v.asked.Machines = append(v.asked.Machines, w.machines[i%len(w.machines)].id)
 	}
 	w.waves[id] = v
-	w.owner.do(func() { w.owner.duty.Ask(v.asked, w.now) })
+	w.owner.do(func() { w.owner.duty.AddWave(v.asked, w.now) })
 }
 
 // askedUpkeep takes in the waves that are known at a takeover.
 func (o *owner) askedUpkeep() {
 	for id, v := range o.world.waves {
-		o.duty.Restore(id, v.begun, v.done)
-		o.duty.Ask(v.asked, o.world.now)
+		o.duty.RestoreWave(id, v.begun, v.done)
+		o.duty.AddWave(v.asked, o.world.now)
 	}
 }
 
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -19,7 +19,7 @@
 	world *World
 	state *mfsched.State
 	duty  *mfduty.State
-	lives mfduty.Lives
+	lives mfduty.IncarnationTracker
 	epoch mothferry.Epoch
 	// version is that of the shard's head when this owner last wrote it.
 	version mothferry.Version
--- a/mffleet/pool.go
+++ b/mffleet/pool.go
@@ -22,7 +22,7 @@
 }
 
 // set shows the sizes of pools; nil shows none.
-func (g poolGauges) set(rooms map[mothferry.ServiceID]mfduty.Room) {
+func (g poolGauges) set(rooms map[mothferry.ServiceID]mfduty.PoolSize) {
 	g.machines.Reset()
 	g.binding.Reset()
 	for id, r := range rooms {
--- a/mffleet/pool_test.go
+++ b/mffleet/pool_test.go
@@ -31,7 +31,7 @@
 		}
 		return out
 	}
-	g.set(map[mothferry.ServiceID]mfduty.Room{"a": {Present: 3, Needed: 9, Target: 5, Binding: mfduty.ResourceMemory}})
+	g.set(map[mothferry.ServiceID]mfduty.PoolSize{"a": {Present: 3, Needed: 9, Target: 5, Binding: mfduty.ResourceMemory}})
 	assert.DeepEqual(t, shown(), map[string]float64{
 		"mothferry_pool_machines present a": 3, "mothferry_pool_machines needed a": 9, "mothferry_pool_machines target a": 5,
 		"mothferry_pool_binding memory a": 1, "mothferry_pool_binding cores a": 0,
--- a/mfowner/duty.go
+++ b/mfowner/duty.go
@@ -43,8 +43,8 @@
 	// window is how long after the commit under way was sent its calls may go out.
 	window  time.Duration
 	state   *mfduty.State
-	rooms   mfduty.RoomLog
-	lives   mfduty.Lives
+	rooms   mfduty.PoolSizeLog
+	lives   mfduty.IncarnationTracker
 	listing bool
 	standby map[mothferry.ServiceID]bool
 	// seen holds the machines as they were listed last.
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		s.duties.state.Restore(id, w.Begun, w.Done)
+		s.duties.state.RestoreWave(id, w.Begun, w.Done)
 		s.duties.stored[id] = string(r.Value)
 	}
 	return nil
@@ -138,7 +138,7 @@
 func (s *session) waveRows() []mothferry.Write {
 	var rows []mothferry.Write
 	for id, w := range s.duties.state.Waves {
-		stored := storedWave{Format: waveFormat, Begun: w.Begun, Done: slices.Sorted(maps.Keys(w.Done))}
+		stored := storedWave{Format: waveFormat, Begun: w.StartedAt, Done: slices.Sorted(maps.Keys(w.Done))}
 		value, err := json.Marshal(stored)
 		if err != nil {
 			s.owner.Log.WithError(err).WithField("wave", id).Error("wave can't be stored")
@@ -159,7 +159,7 @@
 		return
 	}
 	for _, w := range s.owner.Waves() {
-		s.duties.state.Ask(w, now)
+		s.duties.state.AddWave(w, now)
 	}
 	s.tellWaves()
 	s.duties.listing = true
@@ -183,7 +183,7 @@
 	s.noteMachines(machines)
 	s.duties.largest = largestOf(machines)
 	s.step(mfsched.FleetSized{Cores: coresOf(machines)})
-	for _, e := range s.duties.lives.Over(machines, s.state.Loads(), now) {
+	for _, e := range s.duties.lives.Ended(machines, s.state.Loads(), now) {
 		e.Asked = asked
 		s.step(e)
 	}
@@ -194,7 +194,7 @@
 		Machines: machines, Loads: s.state.Loads(), Demands: s.state.Demands(now), Standby: s.duties.standby,
 		Blocked: s.former.blocked(now, s.owner.handOver()),
 	}, now)
-	s.step(mfsched.WorkersLeaving{Workers: s.duties.state.Leaving(), Due: s.duties.state.Due(machines)})
+	s.step(mfsched.WorkersLeaving{Workers: s.duties.state.Evacuating(), Due: s.duties.state.AwaitingMaintenance(machines)})
 	s.tellRooms(now)
 	if len(calls) == 0 {
 		return
@@ -206,14 +206,14 @@
 
 // tellRooms tells how large pools are and should be.
 func (s *session) tellRooms(now time.Time) {
-	rooms := s.duties.state.Rooms
+	rooms := s.duties.state.PoolSizes
 	if s.owner.Sized != nil {
 		s.owner.Sized(rooms)
 	}
-	for id, r := range s.duties.rooms.Due(rooms, now) {
+	for id, r := range s.duties.rooms.Changed(rooms, now) {
 		s.owner.Log.WithFields(log.Fields{
 			"service": id, "need_cores": r.Need.Cores, "need_memory": r.Need.Memory, "binding": r.Binding,
-			"present": r.Present, "needed": r.Needed, "target": r.Target, "short": r.Short(), "epoch": s.state.Epoch,
+			"present": r.Present, "needed": r.Needed, "target": r.Target, "short": r.Shortfall(), "epoch": s.state.Epoch,
 		}).Info("pool is sized")
 	}
 }
@@ -263,7 +263,7 @@
 	var err error
 	ctx, cancel := context.WithTimeout(s.ctx, callTakes)
 	defer cancel()
-	if c.Kind == mfduty.KindUpkeep {
+	if c.Kind == mfduty.KindMaintenance {
 		err = s.owner.Machines.Upkeep(ctx, c.Machine, c.Wave, fence)
 	} else {
 		err = s.owner.Machines.Move(ctx, c.Machine, c.Pool, fence)
@@ -278,7 +278,7 @@
 		entry = entry.WithError(err)
 	}
 	entry.Info("machine is asked for")
-	s.duties.state.Answered(c, answer, s.owner.Clock.Now())
+	s.duties.state.RecordAnswer(c, answer, s.owner.Clock.Now())
 }
 
 // answerOf returns what the error of a call says about it.
@@ -291,7 +291,7 @@
 	case errors.As(err, &refused):
 		return mfduty.AnswerRefused
 	case errors.As(err, &declined) && declined.Status == http.StatusTooManyRequests:
-		return mfduty.AnswerDeclined
+		return mfduty.AnswerThrottled
 	default:
 		return mfduty.AnswerUnknown
 	}
--- a/mfowner/duty_test.go
+++ b/mfowner/duty_test.go
@@ -26,8 +26,8 @@
 func TestWaveNotAskedForKeepsWhatIsDone(t *testing.T) {
 	former := &session{duties: newDuties(nil)}
 	done := []mothferry.MachineID{"m-2", "m-1"}
-	former.duties.state.Ask(mfsched.Wave{Wave: 7, Machines: done}, time.Unix(1, 0))
-	former.duties.state.Restore(7, time.Unix(1, 0), done)
+	former.duties.state.AddWave(mfsched.Wave{Wave: 7, Machines: done}, time.Unix(1, 0))
+	former.duties.state.RestoreWave(7, time.Unix(1, 0), done)
 	read := func(rows []mothferry.Write) (out []mothferry.Row) {
 		for _, w := range rows {
 			out = append(out, mothferry.Row{Key: w.Key, Value: w.Value})
@@ -53,7 +53,7 @@
 	}{
 		{nil, mfduty.AnswerDone},
 		{&mothferry.ErrOrderRefused{}, mfduty.AnswerRefused},
-		{&mothferry.ErrDeclined{Status: 429}, mfduty.AnswerDeclined},
+		{&mothferry.ErrDeclined{Status: 429}, mfduty.AnswerThrottled},
 		{&mothferry.ErrDeclined{Status: 503}, mfduty.AnswerUnknown},
 		{&mothferry.ErrUnavailable{}, mfduty.AnswerUnknown},
 	} {
--- a/mfowner/handover.go
+++ b/mfowner/handover.go
@@ -118,7 +118,7 @@
 	for _, c := range s.duties.releasing {
 		if !s.confirmedWithin(s.duties.window, now) {
 			s.owner.Log.WithField("machine", c.Machine).WithField("commit_age_ms", now.Sub(s.confirmed).Milliseconds()).Info("machine is not asked for, the commit took too long")
-			s.duties.state.Answered(c, mfduty.AnswerRefused, now)
+			s.duties.state.RecordAnswer(c, mfduty.AnswerRefused, now)
 			continue
 		}
 		s.duties.called[c.Machine] = now
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -65,7 +65,7 @@
 	Committed func(took time.Duration)
 	// Sized is told how many machines pools have and should have, and nil once this host
 	// no longer owns the shard; it may be nil.
-	Sized func(rooms map[mothferry.ServiceID]mfduty.Room)
+	Sized func(rooms map[mothferry.ServiceID]mfduty.PoolSize)
 	// Slow is told each second which workers are slow, and of none when the shard is given up
 	// or lost; it may be nil.
 	Slow func(workers []mfsched.SlowWorker)
