--- a/mfjournal/journal.go
+++ b/mfjournal/journal.go
@@ -29,27 +29,27 @@
 	// MaxRows is the most rows that Write returns: a transaction takes 100 entries, of
 	// which the owner needs some itself.
 	MaxRows = 90
-	// MaxOwn is how many jobs with rows of their own one call of Write takes.
-	MaxOwn = 60
-	// maxSegment bounds the value of a log's row with several jobs, in bytes; the store takes 65,536.
-	maxSegment = 48 << 10
-	// segments is how many rows the log may have before what is in the oldest ones is
+	// MaxOwnRows is how many jobs with rows of their own one call of Write takes.
+	MaxOwnRows = 60
+	// maxSegmentBytes bounds the value of a log's row with several jobs, in bytes; the store takes 65,536.
+	maxSegmentBytes = 48 << 10
+	// maxSegments is how many rows the log may have before what is in the oldest ones is
 	// written to the jobs' own rows. A successor reads them all; with 35 commits a
 	// second that is two seconds, as long as most jobs take.
-	segments = 64
-	// moved is how many jobs' rows one commit rewrites for that.
-	moved = 12
+	maxSegments = 64
+	// maxMovedRows is how many jobs' rows one commit rewrites for that.
+	maxMovedRows = 12
 )
 
-// format is the version of the log's stored form.
-const format = 1
+// logFormat is the version of the log's stored form.
+const logFormat = 1
 
 // ErrNewerFormat reports a row of the log that a newer program wrote.
 type ErrNewerFormat struct{ Format int }
 
 // Error implements error.
 func (e *ErrNewerFormat) Error() string {
-	return fmt.Sprintf("a row of the log has format %d, this program reads up to %d", e.Format, format)
+	return fmt.Sprintf("a row of the log has format %d, this program reads up to %d", e.Format, logFormat)
 }
 
 // Journal knows where the newest progress of each job is stored. The zero value is that
@@ -60,19 +60,19 @@
 	// takes seconds to read them.
 	MaxLog mothferry.Bytes
 
-	// last is the number of the newest segment; zero for none.
-	last uint64
+	// lastSegment is the number of the newest segment; zero for none.
+	lastSegment uint64
 	// jobs holds where the newest progress is of each job that is not over.
 	jobs map[mothferry.JobID]*entry
 	// live holds for each segment that is still stored the jobs whose newest progress is in it.
 	live map[uint64]map[mothferry.JobID]*entry
 	// sizes holds the bytes of each segment that is still stored.
-	sizes   map[uint64]mothferry.Bytes
-	reading Reading
+	sizes     map[uint64]mothferry.Bytes
+	readStats ReadStats
 }
 
-// Reading tells which rows a journal was read from, for the log.
-type Reading struct {
+// ReadStats tells which rows a journal was read from, for the log.
+type ReadStats struct {
 	// Oldest and Newest are the numbers of the segments; zero for an empty log.
 	Oldest, Newest uint64
 	// After is the newest segment that a job's own row says it is newer than.
@@ -81,8 +81,8 @@
 	Superseded int
 }
 
-// Reading returns what the journal was read from; zero if it was not read.
-func (j *Journal) Reading() Reading { return j.reading }
+// ReadStats returns what the journal was read from; zero if it was not read.
+func (j *Journal) ReadStats() ReadStats { return j.readStats }
 
 // entry is the newest progress of one job.
 type entry struct {
@@ -91,9 +91,9 @@
 	progress mfjob.Progress
 }
 
-// Owns reports whether the progress of a job needs a row of its own: callers are told by
+// NeedsOwnRow reports whether the progress of a job needs a row of its own: callers are told by
 // it that the job has begun, or how it ended.
-func (j *Journal) Owns(id mothferry.JobID, p mfjob.Progress) bool {
+func (j *Journal) NeedsOwnRow(id mothferry.JobID, p mfjob.Progress) bool {
 	_, known := j.jobs[id]
 	return !known || p.State.Final()
 }
@@ -108,8 +108,8 @@
 	s := &segment{}
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		p := changed[id]
-		own := j.Owns(id, p)
-		j.leave(id)
+		own := j.NeedsOwnRow(id, p)
+		j.unlink(id)
 		if p.State.Final() {
 			delete(j.jobs, id)
 			rows = append(rows, ownRow(id, p, 0))
@@ -118,64 +118,64 @@
 		e := &entry{progress: p}
 		j.jobs[id] = e
 		if own {
-			rows = append(rows, ownRow(id, p, j.last))
+			rows = append(rows, ownRow(id, p, j.lastSegment))
 			continue
 		}
 		text := mfjob.EncodeProgress(p)
-		if !s.hasRoom(text) {
-			rows = append(rows, j.add(s))
+		if !s.fits(text) {
+			rows = append(rows, j.addSegment(s))
 			s = &segment{}
 		}
-		s.take(id, e, text)
+		s.add(id, e, text)
 	}
 	if len(s.entries) > 0 {
-		rows = append(rows, j.add(s))
+		rows = append(rows, j.addSegment(s))
 	}
-	rows = append(rows, j.moveOld(changed)...)
-	return append(rows, j.deleteEmpty(MaxRows-len(rows))...)
+	rows = append(rows, j.moveOldEntries(changed)...)
+	return append(rows, j.deleteEmptySegments(MaxRows-len(rows))...)
 }
 
-// leave takes a job out of the segment that its newest progress was in.
-func (j *Journal) leave(id mothferry.JobID) {
+// unlink takes a job out of the segment that its newest progress was in.
+func (j *Journal) unlink(id mothferry.JobID) {
 	if e, known := j.jobs[id]; known && e.segment != 0 {
 		delete(j.live[e.segment], id)
 	}
 }
 
-// add gives a segment its number and returns its row.
-func (j *Journal) add(s *segment) mothferry.Write {
-	j.last++
+// addSegment gives a segment its number and returns its row.
+func (j *Journal) addSegment(s *segment) mothferry.Write {
+	j.lastSegment++
 	at := map[mothferry.JobID]*entry{}
 	for id, e := range s.entries {
-		e.segment = j.last
+		e.segment = j.lastSegment
 		at[id] = e
 	}
-	j.live[j.last] = at
+	j.live[j.lastSegment] = at
 	value := s.value()
-	j.sizes[j.last] = mothferry.Bytes(len(value))
-	return mothferry.Write{Table: mfrecord.TableLog, Part: mfrecord.PartShard, Key: mfrecord.LogKey(j.last), Value: value}
+	j.sizes[j.lastSegment] = mothferry.Bytes(len(value))
+	return mothferry.Write{Table: mfrecord.TableLog, Part: mfrecord.PartShard, Key: mfrecord.LogKey(j.lastSegment), Value: value}
 }
 
-// stored returns the numbers of the segments that are still stored, the oldest first. An
+// storedSegments returns the numbers of the segments that are still stored, the oldest first. An
 // earlier program may have left gaps between them.
-func (j *Journal) stored() []uint64 { return slices.Sorted(maps.Keys(j.live)) }
+func (j *Journal) storedSegments() []uint64 { return slices.Sorted(maps.Keys(j.live)) }
 
-// moveOld writes jobs of the oldest segments to their own rows if there are too many
+// moveOldEntries writes jobs of the oldest segments to their own rows if there are too many
 // segments, or too many bytes in them.
-func (j *Journal) moveOld(changed map[mothferry.JobID]mfjob.Progress) []mothferry.Write {
+func (j *Journal) moveOldEntries(changed map[mothferry.JobID]mfjob.Progress) []mothferry.Write {
 	var rows []mothferry.Write
 	size := mothferry.Bytes(0)
 	for _, bytes := range j.sizes {
 		size += bytes
 	}
-	for _, n := range j.stored() {
+	for _, n := range j.storedSegments() {
 		tooLarge := j.MaxLog > 0 && size > j.MaxLog
-		if n+segments > j.last && !tooLarge || len(rows) >= moved {
+		if n+maxSegments > j.lastSegment && !tooLarge || len(rows) >= maxMovedRows {
 			break
 		}
 		size -= j.sizes[n]
 		for _, id := range slices.Sorted(maps.Keys(j.live[n])) {
-			if len(rows) >= moved {
+			if len(rows) >= maxMovedRows {
 				break
 			}
 			if _, newer := changed[id]; newer {
@@ -184,16 +184,16 @@
 			e := j.live[n][id]
 			delete(j.live[n], id)
 			e.segment = 0
-			rows = append(rows, ownRow(id, e.progress, j.last))
+			rows = append(rows, ownRow(id, e.progress, j.lastSegment))
 		}
 	}
 	return rows
 }
 
-// deleteEmpty deletes the oldest segments while nothing in them is the newest of its job.
-func (j *Journal) deleteEmpty(most int) []mothferry.Write {
+// deleteEmptySegments deletes the oldest segments while nothing in them is the newest of its job.
+func (j *Journal) deleteEmptySegments(most int) []mothferry.Write {
 	var rows []mothferry.Write
-	for _, n := range j.stored() {
+	for _, n := range j.storedSegments() {
 		if len(j.live[n]) > 0 || len(rows) >= most {
 			break
 		}
@@ -216,15 +216,15 @@
 	text    []byte
 }
 
-// hasRoom reports whether one more entry fits; the first one always does.
-func (s *segment) hasRoom(text []byte) bool {
-	return len(s.entries) == 0 || len(s.text)+len(text) <= maxSegment
+// fits reports whether one more entry fits; the first one always does.
+func (s *segment) fits(text []byte) bool {
+	return len(s.entries) == 0 || len(s.text)+len(text) <= maxSegmentBytes
 }
 
-func (s *segment) take(id mothferry.JobID, e *entry, text []byte) {
+func (s *segment) add(id mothferry.JobID, e *entry, text []byte) {
 	if s.entries == nil {
 		s.entries = map[mothferry.JobID]*entry{}
-		s.text = append([]byte(`{"format":`), strconv.Itoa(format)...)
+		s.text = append([]byte(`{"format":`), strconv.Itoa(logFormat)...)
 		s.text = append(s.text, `,"jobs":{`...)
 	} else {
 		s.text = append(s.text, ',')
@@ -251,25 +251,25 @@
 		id := mothferry.JobID(r.Key)
 		newest[id], written[id] = p, r.Version
 		// An older program goes by After: numbers of the log must not begin again below it.
-		j.last = max(j.last, p.After)
+		j.lastSegment = max(j.lastSegment, p.After)
 		if !p.State.Final() {
 			j.jobs[id] = &entry{progress: p}
 		}
 	}
-	j.reading.After = j.last
+	j.readStats.After = j.lastSegment
 	log = slices.Clone(log)
 	slices.SortFunc(log, func(a, b mothferry.Row) int { return cmp.Compare(a.Key, b.Key) })
 	for _, r := range log {
-		if err := j.read(r, newest, written); err != nil {
+		if err := j.readSegment(r, newest, written); err != nil {
 			return nil, nil, err
 		}
 	}
 	return newest, j, nil
 }
 
-// read takes in one row of the log; they come in order. Written holds the versions of the
+// readSegment takes in one row of the log; they come in order. Written holds the versions of the
 // jobs' own rows: the store's versions alone tell which of two rows was written last.
-func (j *Journal) read(r mothferry.Row, newest map[mothferry.JobID]mfjob.Progress, written map[mothferry.JobID]mothferry.Version) error {
+func (j *Journal) readSegment(r mothferry.Row, newest map[mothferry.JobID]mfjob.Progress, written map[mothferry.JobID]mothferry.Version) error {
 	number, err := mfrecord.LogNumber(r.Key)
 	if err != nil {
 		return err
@@ -281,14 +281,14 @@
 	if err := json.Unmarshal(r.Value, &stored); err != nil {
 		return trace.Wrap(err)
 	}
-	if stored.Format > format {
+	if stored.Format > logFormat {
 		return &ErrNewerFormat{stored.Format}
 	}
-	j.last = max(j.last, number)
-	if j.reading.Oldest == 0 {
-		j.reading.Oldest = number
+	j.lastSegment = max(j.lastSegment, number)
+	if j.readStats.Oldest == 0 {
+		j.readStats.Oldest = number
 	}
-	j.reading.Newest = number
+	j.readStats.Newest = number
 	j.live[number] = map[mothferry.JobID]*entry{}
 	j.sizes[number] = mothferry.Bytes(len(r.Value))
 	for id, data := range stored.Jobs {
@@ -298,14 +298,14 @@
 			continue
 		}
 		if r.Version < written[id] {
-			j.reading.Superseded++
+			j.readStats.Superseded++
 			continue
 		}
 		p, err := mfjob.DecodeProgress(data)
 		if err != nil {
 			return err
 		}
-		j.leave(id)
+		j.unlink(id)
 		e.segment, e.progress = number, p
 		j.live[number][id] = e
 		newest[id] = p
--- a/mfjournal/journal_test.go
+++ b/mfjournal/journal_test.go
@@ -83,10 +83,10 @@
 				if rapid.IntRange(0, 9).Draw(t, "over") == 0 {
 					p = mfjob.Progress{State: mfjob.StateCompleted}
 				}
-				if want[id].State.Final() || own >= mfjournal.MaxOwn {
+				if want[id].State.Final() || own >= mfjournal.MaxOwnRows {
 					continue
 				}
-				if j.Owns(id, p) {
+				if j.NeedsOwnRow(id, p) {
 					own++
 				}
 				changed[id] = p
--- a/mfjournal/numbering_test.go
+++ b/mfjournal/numbering_test.go
@@ -12,7 +12,7 @@
 )
 
 // A log that an older program numbered anew, far below what jobs' rows name, must not fill commits with deletions of absent rows.
-func TestLogNumberedAnewFillsNoCommits(t *testing.T) {
+func TestRenumberedLogFillsNoCommits(t *testing.T) {
 	const highest, commits = 100_000, 20
 	lasts := progress(1, 2)
 	lasts.After = highest
--- a/mfowner/restore.go
+++ b/mfowner/restore.go
@@ -66,7 +66,7 @@
 		}
 		s.progress[id] = &p
 	}
-	reading := in.journal.Reading()
+	reading := in.journal.ReadStats()
 	s.owner.Log.WithFields(log.Fields{
 		"epoch": s.state.Epoch, "jobs": in.jobs, "over": over, "segments": in.segments,
 		"oldest_segment": reading.Oldest, "newest_segment": reading.Newest, "newest_after": reading.After, "superseded": reading.Superseded,
--- a/mfsched/limits.go
+++ b/mfsched/limits.go
@@ -76,7 +76,7 @@
 	// time that it takes to be sent.
 	maxCommitJobs = 400
 	// maxCommitOwn bounds those of them that need a row of their own.
-	maxCommitOwn = mfjournal.MaxOwn
+	maxCommitOwn = mfjournal.MaxOwnRows
 	// maxCommitTasks bounds their tasks, so that a transaction has room for what the journal
 	// moves beside them.
 	maxCommitTasks = 5000
