--- a/mflease/keeper.go
+++ b/mflease/keeper.go
@@ -22,13 +22,13 @@
 // counts it as lapsed when an eighth is still left, so that an act begun just
 // before the end is not still under way after it.
 const (
-	renewPart  = 3
-	marginPart = 8
+	renewDivisor  = 3
+	marginDivisor = 8
 )
 
-// candidates is how many daemons of a data centre hold shards. More would
+// maxHolders is how many daemons of a data centre hold shards. More would
 // spread the work thinner, at the price of one renewed row each.
-const candidates = 4
+const maxHolders = 4
 
 // Keeper keeps this daemon's lease and claims shards.
 type Keeper struct {
@@ -47,15 +47,15 @@
 	mutex   sync.Mutex
 	version mothferry.Version
 	until   time.Time
-	held    map[mothferry.PoolID]seenShard
+	held    map[mothferry.PoolID]observedShard
 
 	// Only Run uses the fields below.
-	watches map[mothferry.DaemonID]watch
+	watches map[mothferry.DaemonID]rowWatch
 }
 
 // Run keeps the lease until ctx ends, then gives it back.
 func (k *Keeper) Run(ctx context.Context) error {
-	k.watches = map[mothferry.DaemonID]watch{}
+	k.watches = map[mothferry.DaemonID]rowWatch{}
 	failures := mflog.Episode{Log: k.Log}
 	for {
 		err := k.round(ctx)
@@ -65,7 +65,7 @@
 		case ctx.Err() == nil:
 			failures.Failed(err, "Lease cannot be kept.")
 		}
-		if !mfclock.Sleep(ctx, k.Clock, k.Lease/(2*renewPart)) {
+		if !mfclock.Sleep(ctx, k.Clock, k.Lease/(2*renewDivisor)) {
 			k.resign()
 			return ctx.Err()
 		}
@@ -114,7 +114,7 @@
 
 // round renews the lease if it is due and claims what this daemon should hold.
 func (k *Keeper) round(ctx context.Context) error {
-	if !k.candidate() && !k.holdsAny() {
+	if !k.isCandidate() && !k.holdsAny() {
 		return nil
 	}
 	if err := k.renew(ctx); err != nil {
@@ -125,19 +125,19 @@
 		return err
 	}
 	now := k.Clock.Now()
-	k.watches = observe(k.watches, v, now)
-	k.confirm(v)
+	k.watches = updateWatches(k.watches, v, now)
+	k.dropTakenOver(v)
 	for _, pool := range k.Wanted() {
-		if err := k.consider(ctx, v, pool, now); err != nil {
+		if err := k.claimIfFirst(ctx, v, pool, now); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) candidate() bool {
+func (k *Keeper) isCandidate() bool {
 	ranked := mfroute.Rank("holders", k.Live())
-	return slices.Index(ranked, k.Self) < candidates
+	return slices.Index(ranked, k.Self) < maxHolders
 }
 
 func (k *Keeper) holdsAny() bool {
@@ -154,8 +154,8 @@
 	version, until := k.version, k.until
 	k.mutex.Unlock()
 	began := k.Clock.Now()
-	full := k.Lease - k.Lease/marginPart
-	if version != 0 && until.Sub(began) > full-k.Lease/renewPart {
+	full := k.Lease - k.Lease/marginDivisor
+	if version != 0 && until.Sub(began) > full-k.Lease/renewDivisor {
 		return nil
 	}
 	token := k.NewToken()
@@ -191,14 +191,14 @@
 	defer k.mutex.Unlock()
 	k.version = row.Version
 	if row.Version == 0 {
-		k.held = map[mothferry.PoolID]seenShard{}
+		k.held = map[mothferry.PoolID]observedShard{}
 		k.until = time.Time{}
 	}
 	return nil
 }
 
 func (k *Keeper) read(ctx context.Context) (view, error) {
-	v := view{holders: map[mothferry.DaemonID]mothferry.Row{}, shards: map[mothferry.PoolID]seenShard{}}
+	v := view{holders: map[mothferry.DaemonID]mothferry.Row{}, shards: map[mothferry.PoolID]observedShard{}}
 	holders, shards := holderPrefix(k.DataCentre), shardPrefix(k.DataCentre)
 	rows, err := k.Table.Read(ctx, mothferry.Query{Prefixes: []mothferry.Key{holders, shards}})
 	if err != nil {
@@ -214,13 +214,13 @@
 			return v, err
 		}
 		pool := mothferry.PoolID(strings.TrimPrefix(string(r.Key), string(shards)))
-		v.shards[pool] = seenShard{row: row, version: r.Version}
+		v.shards[pool] = observedShard{row: row, version: r.Version}
 	}
 	return v, nil
 }
 
-// confirm drops shards that the table shows in other hands.
-func (k *Keeper) confirm(v view) {
+// dropTakenOver drops shards that the table shows in other hands.
+func (k *Keeper) dropTakenOver(v view) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for pool, s := range k.held {
@@ -231,37 +231,37 @@
 	}
 }
 
-// consider claims a pool's shard if it has no holder and this daemon comes
+// claimIfFirst claims a pool's shard if it has no holder and this daemon comes
 // first for it, or goes on holding what its row already says is its own.
-func (k *Keeper) consider(ctx context.Context, v view, pool mothferry.PoolID, now time.Time) error {
+func (k *Keeper) claimIfFirst(ctx context.Context, v view, pool mothferry.PoolID, now time.Time) error {
 	s, exists := v.shards[pool]
-	if exists && s.row.Holder != k.Self && !lapsed(s.row.Holder, v, k.watches, now, k.Lease) {
+	if exists && s.row.Holder != k.Self && !expired(s.row.Holder, v, k.watches, now, k.Lease) {
 		return nil
 	}
 	k.mutex.Lock()
 	_, holds := k.held[pool]
 	k.mutex.Unlock()
-	if holds || !k.first(pool, s.row.Holder, exists) {
+	if holds || !k.ranksFirst(pool, s.row.Holder, exists) {
 		return nil
 	}
 	return k.claim(ctx, v, pool, s)
 }
 
-// first reports whether this daemon comes first among those alive for a pool.
+// ranksFirst reports whether this daemon comes first among those alive for a pool.
 // A shard whose row names this daemon, from before a lapse, is its to reclaim.
-func (k *Keeper) first(pool mothferry.PoolID, holder mothferry.DaemonID, exists bool) bool {
+func (k *Keeper) ranksFirst(pool mothferry.PoolID, holder mothferry.DaemonID, exists bool) bool {
 	if exists && holder == k.Self {
 		return true
 	}
 	live := slices.DeleteFunc(slices.Clone(k.Live()), func(d mothferry.DaemonID) bool { return exists && d == holder })
 	ranked := mfroute.Rank("holders", live)
-	ranked = ranked[:min(candidates, len(ranked))]
+	ranked = ranked[:min(maxHolders, len(ranked))]
 	return len(ranked) > 0 && mfroute.Rank(string(pool), ranked)[0] == k.Self
 }
 
 // claim takes a shard with the next epoch. The transaction deletes the old
 // holder's row, so that a renewal under way cannot bring its lease back.
-func (k *Keeper) claim(ctx context.Context, v view, pool mothferry.PoolID, s seenShard) error {
+func (k *Keeper) claim(ctx context.Context, v view, pool mothferry.PoolID, s observedShard) error {
 	shard := mothferry.Shard{DataCentre: k.DataCentre, Pool: pool}
 	row := shardRow{Holder: k.Self, Epoch: s.row.Epoch + 1, Token: k.NewToken()}
 	data, err := encode(row)
@@ -303,9 +303,9 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.held == nil {
-		k.held = map[mothferry.PoolID]seenShard{}
+		k.held = map[mothferry.PoolID]observedShard{}
 	}
-	k.held[pool] = seenShard{row: row, version: version}
+	k.held[pool] = observedShard{row: row, version: version}
 	k.Log.WithField("pool", pool).WithField("epoch", row.Epoch).Info("Shard is held.")
 	return nil
 }
--- a/mflease/keeper_test.go
+++ b/mflease/keeper_test.go
@@ -33,7 +33,7 @@
 			Live:     func() []mothferry.DaemonID { return names },
 			Wanted:   func() []mothferry.PoolID { return []mothferry.PoolID{"p", "q"} },
 			NewToken: func() mothferry.Token { return mothferry.Token(rand.Text()) }, Log: mflog.Discard(),
-			watches: map[mothferry.DaemonID]watch{},
+			watches: map[mothferry.DaemonID]rowWatch{},
 		})
 	}
 	return all, table, clock
@@ -84,8 +84,8 @@
 	})
 }
 
-// settle runs rounds until every pool has a holder and returns the first's.
-func settle(t *testing.T, all []*Keeper, clock *mffake.Clock) *Keeper {
+// runUntilHeld runs rounds until every pool has a holder and returns the first's.
+func runUntilHeld(t *testing.T, all []*Keeper, clock *mffake.Clock) *Keeper {
 	t.Helper()
 	for range 100 {
 		for _, k := range all {
@@ -106,7 +106,7 @@
 // before; one that resigns loses them at once.
 func TestTakeover(t *testing.T) {
 	all, _, clock := keepers(3)
-	dead := settle(t, all, clock)
+	dead := runUntilHeld(t, all, clock)
 	var rest []*Keeper
 	for _, k := range all {
 		if k != dead {
@@ -114,14 +114,14 @@
 		}
 	}
 	began := clock.Now()
-	next := settle(t, rest, clock)
+	next := runUntilHeld(t, rest, clock)
 	took := clock.Now().Sub(began)
 	t.Logf("taken over after %s with a lease of %s", took, lease)
-	assert.Assert(t, took >= lease-lease/renewPart && took <= lease+lease/2)
+	assert.Assert(t, took >= lease-lease/renewDivisor && took <= lease+lease/2)
 	assert.Assert(t, len(dead.Holdings()) == 0)
 	next.resign()
 	began = clock.Now()
-	settle(t, rest, clock)
+	runUntilHeld(t, rest, clock)
 	assert.Equal(t, clock.Now().Sub(began), time.Duration(0))
 }
 
@@ -131,14 +131,14 @@
 // and succeeds. Cause: a takeover that leaves the holder's row as it was.
 func TestRenewalRacesTakeover(t *testing.T) {
 	all, _, clock := keepers(2)
-	old := settle(t, all, clock)
+	old := runUntilHeld(t, all, clock)
 	other := all[0]
 	if other == old {
 		other = all[1]
 	}
 	assert.NilError(t, other.round(t.Context()))
 	clock.Advance(lease / 2)
-	old.Table = &late{Table: old.Table, before: func() {
+	old.Table = &delayedTable{Table: old.Table, beforeCommit: func() {
 		clock.Advance(lease / 2)
 		assert.NilError(t, other.round(t.Context()))
 	}}
@@ -147,13 +147,13 @@
 	assert.Equal(t, len(old.Holdings()), 0)
 }
 
-// late is a table whose next commit arrives after something else happened.
-type late struct {
+// delayedTable is a table whose next commit arrives after something else happened.
+type delayedTable struct {
 	mothferry.Table
-	before func()
+	beforeCommit func()
 }
 
-func (l *late) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
-	l.before()
+func (l *delayedTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+	l.beforeCommit()
 	return l.Table.Commit(ctx, txn)
 }
--- a/mflease/lease.go
+++ b/mflease/lease.go
@@ -84,37 +84,37 @@
 // view is what a read of the table showed of a data centre.
 type view struct {
 	holders map[mothferry.DaemonID]mothferry.Row
-	shards  map[mothferry.PoolID]seenShard
+	shards  map[mothferry.PoolID]observedShard
 }
 
-type seenShard struct {
+type observedShard struct {
 	row     shardRow
 	version mothferry.Version
 }
 
-// watch remembers since when each holder's row is unchanged.
-type watch struct {
+// rowWatch remembers since when each holder's row is unchanged.
+type rowWatch struct {
 	version mothferry.Version
 	since   time.Time
 }
 
-// observe brings the watches up to a view. A row that changed, or is seen
+// updateWatches brings the watches up to a view. A row that changed, or is seen
 // first, starts anew.
-func observe(watches map[mothferry.DaemonID]watch, v view, now time.Time) map[mothferry.DaemonID]watch {
-	next := map[mothferry.DaemonID]watch{}
+func updateWatches(watches map[mothferry.DaemonID]rowWatch, v view, now time.Time) map[mothferry.DaemonID]rowWatch {
+	next := map[mothferry.DaemonID]rowWatch{}
 	for d, row := range v.holders {
 		old, ok := watches[d]
 		if !ok || old.version != row.Version {
-			old = watch{version: row.Version, since: now}
+			old = rowWatch{version: row.Version, since: now}
 		}
 		next[d] = old
 	}
 	return next
 }
 
-// lapsed reports whether a shard's holder has lost its lease: its row is gone,
+// expired reports whether a shard's holder has lost its lease: its row is gone,
 // or has been watched unchanged for the whole lease.
-func lapsed(holder mothferry.DaemonID, v view, watches map[mothferry.DaemonID]watch, now time.Time, lease time.Duration) bool {
+func expired(holder mothferry.DaemonID, v view, watches map[mothferry.DaemonID]rowWatch, now time.Time, lease time.Duration) bool {
 	if _, ok := v.holders[holder]; !ok {
 		return true
 	}
