--- a/mfduty/duty.go
+++ b/mfduty/duty.go
@@ -108,7 +108,7 @@
 	operations map[mothferry.MachineID]*operation
 	// missingSince holds since when no list has shown a machine that is to be acted on.
 	missingSince map[mothferry.MachineID]time.Time
-	sizer        mfpool.Sizes
+	sizer        mfpool.Sizer
 }
 
 // New returns a state with nothing under way.
--- a/mfduty/move.go
+++ b/mfduty/move.go
@@ -36,17 +36,17 @@
 	targets := s.sizer.Targets(pools, now)
 	needed := map[mothferry.ServiceID]int{}
 	for id, t := range targets {
-		needed[id] = t.Now
+		needed[id] = t.Machines
 	}
 	if !s.Off[mothferry.FeatureRooms] {
 		s.divide(f, pools, targets, now)
 	}
 	s.PoolSizes = poolSizes(pools, needed, targets)
-	keep := func(id mothferry.ServiceID) int { return targets[id].Keep }
+	keep := func(id mothferry.ServiceID) int { return targets[id].Retain }
 	needy := poolsByShortfall(pools, targets)
 	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, keep, slowLast), now)
 	// Pools that are still short take what others only keep for a lull.
-	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Now }, slowLast), now)
+	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Machines }, slowLast), now)
 	room := s.spareMachines(f, pools, targets)
 	home, ok := standbyPool(f.Standby)
 	if !ok {
@@ -66,10 +66,10 @@
 func (s *State) spareMachines(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) int {
 	room := 0
 	for id, p := range pools {
-		if p.Machines < targets[id].Now {
+		if p.Machines < targets[id].Machines {
 			return 0
 		}
-		room += p.Machines - targets[id].Now
+		room += p.Machines - targets[id].Machines
 	}
 	for _, m := range f.Machines {
 		if _, busy := s.operations[m.Machine]; f.Standby[m.Pool] && !busy && m.State == mothferry.MachineUp {
@@ -82,7 +82,7 @@
 // fillPools sends free machines to the pools that miss some.
 func (s *State) fillPools(needy []mothferry.ServiceID, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, free []mothferry.Machine, now time.Time) {
 	for _, id := range needy {
-		for pools[id].Machines < targets[id].Now && len(free) > 0 {
+		for pools[id].Machines < targets[id].Machines && len(free) > 0 {
 			if free[0].Pool != id {
 				s.startMove(free[0], id, now)
 				countMove(pools, free[0].Pool, id)
@@ -149,8 +149,8 @@
 		size.Memory = 0
 	}
 	for id, p := range pools {
-		p.Machine, p.Demand = size, f.Demands[id]
-		p.Fair = float64(len(f.Machines)) / float64(len(pools))
+		p.MachineCapacity, p.Demand = size, f.Demands[id]
+		p.EqualShare = float64(len(f.Machines)) / float64(len(pools))
 		pools[id] = p
 	}
 	return pools
@@ -252,7 +252,7 @@
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b mothferry.ServiceID) int {
-		return cmp.Or(cmp.Compare(targets[b].Now-pools[b].Machines, targets[a].Now-pools[a].Machines), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(targets[b].Machines-pools[b].Machines, targets[a].Machines-pools[a].Machines), cmp.Compare(a, b))
 	})
 	return ids
 }
--- a/mfduty/room.go
+++ b/mfduty/room.go
@@ -48,7 +48,7 @@
 	rooms := map[mothferry.ServiceID]PoolSize{}
 	for id, p := range pools {
 		n := p.Need()
-		rooms[id] = PoolSize{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Now, Binding: bindingResource(n, needed[id])}
+		rooms[id] = PoolSize{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Machines, Binding: bindingResource(n, needed[id])}
 	}
 	return rooms
 }
--- a/mfduty/short.go
+++ b/mfduty/short.go
@@ -24,13 +24,13 @@
 	}
 	for id, p := range pools {
 		fleet += p.Machines
-		wanted += targets[id].Now
+		wanted += targets[id].Machines
 	}
 	if float64(wanted) <= divideThreshold*float64(fleet) {
 		return
 	}
 	for id, share := range mfpool.Divide(fleet, claims) {
-		n := mfpool.Steady(share, pools[id].Machines)
-		targets[id] = mfpool.Target{Now: n, Keep: n}
+		n := mfpool.ApplyHysteresis(share, pools[id].Machines)
+		targets[id] = mfpool.Target{Machines: n, Retain: n}
 	}
 }
--- a/mfpool/divide.go
+++ b/mfpool/divide.go
@@ -9,18 +9,18 @@
 	"mothferry"
 )
 
-// moveBand is by which part of its share a pool may have more before machines leave it.
-const moveBand = 0.5
+// surplusTolerance is by which part of its share a pool may have more before machines leave it.
+const surplusTolerance = 0.5
 
-// claimMemory is how long what a pool asked for counts in its claim: single jobs come and
+// claimTimeConstant is how long what a pool asked for counts in its claim: single jobs come and
 // go by much of a short pool's need, and half of a move's time is what a claim may lag.
-const claimMemory = time.Second
+const claimTimeConstant = time.Second
 
 // Claim is what a pool asks for of a fleet that is too small for all pools.
 type Claim struct {
 	// Floor is the fewest machines that it should have, Prompt how many the work asks
 	// for that can still be in time, and Need how many all its work asks for.
-	Floor, Prompt, Need int
+	Floor, OnTime, Need int
 }
 
 // Divide returns how many of a fleet's machines each pool gets: its floor first, then what
@@ -38,13 +38,13 @@
 		c := claims[id]
 		c.Need = max(0, c.Need)
 		c.Floor = min(max(0, c.Floor), c.Need)
-		c.Prompt = min(max(c.Prompt, c.Floor), c.Need)
+		c.OnTime = min(max(c.OnTime, c.Floor), c.Need)
 		d.claims = append(d.claims, c)
 	}
 	d.shares = make([]int, len(ids))
-	d.give(func(c Claim) int { return c.Floor })
-	d.give(func(c Claim) int { return c.Prompt })
-	d.give(func(c Claim) int { return c.Need })
+	d.distribute(func(c Claim) int { return c.Floor })
+	d.distribute(func(c Claim) int { return c.OnTime })
+	d.distribute(func(c Claim) int { return c.Need })
 	out := map[mothferry.ServiceID]int{}
 	for i, id := range ids {
 		out[id] = d.shares[i]
@@ -52,11 +52,11 @@
 	return out
 }
 
-// Steady returns how many machines a pool should have of which the fleet's division says
+// ApplyHysteresis returns how many machines a pool should have of which the fleet's division says
 // share: what it has, if that is not much more. A move takes a machine away from callers
 // for two seconds, and the shares change with each job that comes.
-func Steady(share, machines int) int {
-	if machines > share && float64(machines) <= float64(share)*(1+moveBand)+1 {
+func ApplyHysteresis(share, machines int) int {
+	if machines > share && float64(machines) <= float64(share)*(1+surplusTolerance)+1 {
 		return machines
 	}
 	return share
@@ -69,9 +69,9 @@
 	left   int
 }
 
-// give gives machines to the pools that have fewer than they want, one after the other to
+// distribute gives machines to the pools that have fewer than they want, one after the other to
 // the one that has got fewest for what it missed.
-func (d *division) give(want func(Claim) int) {
+func (d *division) distribute(want func(Claim) int) {
 	missing, given := make([]int, len(d.claims)), make([]int, len(d.claims))
 	for i, c := range d.claims {
 		missing[i] = max(0, want(c)-d.shares[i])
@@ -94,25 +94,25 @@
 	}
 }
 
-// claim is what a pool asked for of late, in machines.
-type claim struct{ prompt, need float64 }
+// smoothedClaim is what a pool asked for of late, in machines.
+type smoothedClaim struct{ onTime, need float64 }
 
 // Claims returns what pools ask for of a fleet that is too small. What each asked for
 // within claimMemory counts too.
-func (s *Sizes) Claims(pools map[mothferry.ServiceID]Pool, now time.Time) map[mothferry.ServiceID]Claim {
-	kept := math.Exp(-now.Sub(s.claimed).Seconds() / claimMemory.Seconds())
-	claims, smooth := map[mothferry.ServiceID]Claim{}, map[mothferry.ServiceID]claim{}
+func (s *Sizer) Claims(pools map[mothferry.ServiceID]Pool, now time.Time) map[mothferry.ServiceID]Claim {
+	kept := math.Exp(-now.Sub(s.claimedAt).Seconds() / claimTimeConstant.Seconds())
+	claims, smooth := map[mothferry.ServiceID]Claim{}, map[mothferry.ServiceID]smoothedClaim{}
 	for id, p := range pools {
 		c := p.claim()
-		v := claim{prompt: float64(c.Prompt), need: float64(c.Need)}
+		v := smoothedClaim{onTime: float64(c.OnTime), need: float64(c.Need)}
 		if old, known := s.claims[id]; known {
-			v.prompt += kept * (old.prompt - v.prompt)
+			v.onTime += kept * (old.onTime - v.onTime)
 			v.need += kept * (old.need - v.need)
 		}
 		smooth[id] = v
-		c.Prompt, c.Need = int(math.Round(v.prompt)), int(math.Round(v.need))
+		c.OnTime, c.Need = int(math.Round(v.onTime)), int(math.Round(v.need))
 		claims[id] = c
 	}
-	s.claims, s.claimed = smooth, now
+	s.claims, s.claimedAt = smooth, now
 	return claims
 }
--- a/mfpool/divide_test.go
+++ b/mfpool/divide_test.go
@@ -20,7 +20,7 @@
 		floor := rapid.IntRange(0, 8).Draw(t, "floor")
 		prompt := floor + rapid.IntRange(0, 200).Draw(t, "prompt")
 		claims[mothferry.ServiceID(fmt.Sprintf("p%02d", i))] = mfpool.Claim{
-			Floor: floor, Prompt: prompt, Need: prompt + rapid.IntRange(0, 200).Draw(t, "late"),
+			Floor: floor, OnTime: prompt, Need: prompt + rapid.IntRange(0, 200).Draw(t, "late"),
 		}
 	}
 	return rapid.IntRange(0, 500).Draw(t, "fleet"), claims
@@ -51,7 +51,7 @@
 		before := mfpool.Divide(fleet, claims)["p00"]
 		c := claims["p00"]
 		more := rapid.IntRange(1, 50).Draw(t, "more")
-		c.Prompt, c.Need = c.Prompt+more, c.Need+more
+		c.OnTime, c.Need = c.OnTime+more, c.Need+more
 		claims["p00"] = c
 		after := mfpool.Divide(fleet, claims)["p00"]
 		assert.Assert(t, after >= before, "%d, with %d more %d", before, more, after)
@@ -59,22 +59,22 @@
 }
 
 // No pool must pay for another's demand with more than the same part of its own.
-func TestPoolsAreCutByTheSamePart(t *testing.T) {
+func TestPoolsAreCutProportionally(t *testing.T) {
 	shares := mfpool.Divide(100, map[mothferry.ServiceID]mfpool.Claim{
-		"large": {Prompt: 150, Need: 150}, "small": {Prompt: 50, Need: 50},
+		"large": {OnTime: 150, Need: 150}, "small": {OnTime: 50, Need: 50},
 	})
 	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"large": 75, "small": 25})
 }
 
 // Work that can't be in time any more must not keep machines from work that can.
-func TestPromptWorkGoesFirst(t *testing.T) {
+func TestOnTimeWorkGoesFirst(t *testing.T) {
 	pool := func(d mfdemand.Demand) mfpool.Pool {
-		return mfpool.Pool{Machine: mfdemand.Amount{Cores: 16}, Demand: d, Fair: 20}
+		return mfpool.Pool{MachineCapacity: mfdemand.Amount{Cores: 16}, Demand: d, EqualShare: 20}
 	}
 	late := mfdemand.Demand{ReadyWork: mfdemand.Amount{Cores: 5000}, Ready: mfdemand.Amount{Cores: 5000}}
 	prompt := late
 	prompt.OnTimeWork, prompt.OnTimeReady = late.ReadyWork, late.Ready
-	var s mfpool.Sizes
+	var s mfpool.Sizer
 	shares := mfpool.Divide(60, s.Claims(map[mothferry.ServiceID]mfpool.Pool{"late": pool(late), "prompt": pool(prompt)}, start))
 	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"late": 4, "prompt": 56})
 }
@@ -83,15 +83,15 @@
 func TestClaimsFollowDemand(t *testing.T) {
 	pools := func(cores float64) map[mothferry.ServiceID]mfpool.Pool {
 		return map[mothferry.ServiceID]mfpool.Pool{"a": {
-			Machine: mfdemand.Amount{Cores: 16}, Demand: mfdemand.Demand{Arriving: mfdemand.Amount{Cores: cores}},
+			MachineCapacity: mfdemand.Amount{Cores: 16}, Demand: mfdemand.Demand{Arriving: mfdemand.Amount{Cores: cores}},
 		}}
 	}
-	var s mfpool.Sizes
+	var s mfpool.Sizer
 	s.Claims(pools(0), start)
 	claim := mfpool.Claim{}
 	for d := 150 * time.Millisecond; d <= 1500*time.Millisecond; d += 150 * time.Millisecond {
 		claim = s.Claims(pools(1000), start.Add(d))["a"]
 	}
 	full := s.Claims(pools(1000), start.Add(time.Minute))["a"]
-	assert.Assert(t, 4*claim.Prompt >= 3*full.Prompt, "%v of %v", claim, full)
+	assert.Assert(t, 4*claim.OnTime >= 3*full.OnTime, "%v of %v", claim, full)
 }
--- a/mfpool/pool_test.go
+++ b/mfpool/pool_test.go
@@ -14,14 +14,14 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // A pool must not be sized by cores where its tasks fill the memory first.
-func TestPoolIsSizedByWhatBinds(t *testing.T) {
+func TestPoolIsSizedByBindingResource(t *testing.T) {
 	pool := mfpool.Pool{
-		Machine: mfdemand.Amount{Cores: 16, Memory: 32},
-		Demand:  mfdemand.Demand{Arriving: mfdemand.Amount{Cores: 16, Memory: 320}},
+		MachineCapacity: mfdemand.Amount{Cores: 16, Memory: 32},
+		Demand:          mfdemand.Demand{Arriving: mfdemand.Amount{Cores: 16, Memory: 320}},
 	}
 	target := func() int {
-		var s mfpool.Sizes
-		return s.Targets(map[mothferry.ServiceID]mfpool.Pool{"a": pool}, start)["a"].Now
+		var s mfpool.Sizer
+		return s.Targets(map[mothferry.ServiceID]mfpool.Pool{"a": pool}, start)["a"].Machines
 	}
 	n := pool.Need()
 	assert.Equal(t, n, mfpool.Need{Cores: 3, Memory: 13})
@@ -29,6 +29,6 @@
 	pool.Demand.Arriving.Memory = 32
 	assert.Equal(t, target(), n.Cores)
 	// Machines that tell no memory are sized by cores.
-	pool.Demand.Arriving.Memory, pool.Machine.Memory = 320, 0
+	pool.Demand.Arriving.Memory, pool.MachineCapacity.Memory = 320, 0
 	assert.Equal(t, target(), n.Cores)
 }
