--- a/mfqueue/queue.go
+++ b/mfqueue/queue.go
@@ -38,8 +38,8 @@
 	ID mothferry.ServiceID
 	// Standby says that the pool's machines are off and cost nothing.
 	Standby bool
-	// Guarded says that its workers refuse what does not fit.
-	Guarded bool
+	// EnforcesCapacity says that its workers refuse what does not fit.
+	EnforcesCapacity bool
 }
 
 // Limits bound requests.
