--- a/mfcommand/shard.go
+++ b/mfcommand/shard.go
@@ -78,13 +78,13 @@
 
 func printShard(e *Environment, output string, s mfowner.Status) error {
 	f := shardFigures{
-		Owner: s.Head.Holder, Epoch: s.Head.Epoch, Version: s.Version, Cores: s.Head.Cores, Counted: s.Head.Counted, Pending: s.Head.Pending,
+		Owner: s.Head.Holder, Epoch: s.Head.Epoch, Version: s.Version, Cores: s.Head.Cores, Counted: s.Head.PendingKnown, Pending: s.Head.Pending,
 		WaitMs: map[mothferry.ServiceID]int64{}, AskedMs: map[mothferry.MachineID]int64{}, Waves: []shardWave{},
 	}
-	for service, wait := range s.Head.Waits {
+	for service, wait := range s.Head.EstimatedWaits {
 		f.WaitMs[service] = wait.Milliseconds()
 	}
-	for machine, ago := range s.Head.Called {
+	for machine, ago := range s.Head.CallAges {
 		f.AskedMs[machine] = ago.Milliseconds()
 	}
 	for _, w := range s.Waves {
--- a/mfcommand/shard_test.go
+++ b/mfcommand/shard_test.go
@@ -16,8 +16,8 @@
 func TestShardIsPrinted(t *testing.T) {
 	status := mfowner.Status{
 		Version: 9, Head: mfrecord.Head{
-			Holder: "h-1", Epoch: 3, Counted: true, Pending: map[mothferry.QueueID]int{"b": 2, "a": 1},
-			Waits: map[mothferry.ServiceID]time.Duration{"s": 1500 * time.Millisecond},
+			Holder: "h-1", Epoch: 3, PendingKnown: true, Pending: map[mothferry.QueueID]int{"b": 2, "a": 1},
+			EstimatedWaits: map[mothferry.ServiceID]time.Duration{"s": 1500 * time.Millisecond},
 		},
 		Waves: []mfowner.WaveStatus{{Wave: 4, Done: []mothferry.MachineID{"m-1"}}},
 	}
--- a/mfemulate/host.go
+++ b/mfemulate/host.go
@@ -80,9 +80,9 @@
 			w.broken("the head can't be read: %v", err)
 			return
 		}
-		head.Read, head.Since = w.now, w.now
+		head.ReadAt, head.FirstReadAt = w.now, w.now
 		if h.board != nil && r.Version == h.version {
-			head.Since = h.board.Since
+			head.FirstReadAt = h.board.FirstReadAt
 		}
 		h.board, h.version = &head, r.Version
 	}
@@ -93,7 +93,7 @@
 	w := o.world
 	head := mfrecord.Head{Holder: "emulated", Epoch: o.epoch}
 	if pending, known := o.state.Pending(); known && len(w.hosts) > 0 {
-		head.Counted, head.Pending, head.Waits = true, pending, o.state.Waits(w.now)
+		head.PendingKnown, head.Pending, head.EstimatedWaits = true, pending, o.state.Waits(w.now)
 		if w.now.Sub(o.sharesAt) >= sharesEvery {
 			o.sharesAt, o.shares = w.now, o.state.Standing(w.now)
 		}
--- a/mfintake/admission.go
+++ b/mfintake/admission.go
@@ -22,7 +22,7 @@
 // has not been heard: the last count would hide all jobs that came since.
 func (i *Intake) Pending(queue mothferry.QueueID) (int, bool) {
 	board := i.lastHead()
-	if board == nil || !board.Counted || i.Clock.Now().Sub(board.Since) > maxCountAge {
+	if board == nil || !board.PendingKnown || i.Clock.Now().Sub(board.FirstReadAt) > maxCountAge {
 		return 0, false
 	}
 	return board.Pending[queue], true
@@ -74,19 +74,19 @@
 // been, is never refused.
 func (i *Intake) TooLarge(ctx context.Context, id mothferry.JobID, job mfjob.Submission) bool {
 	board := i.lastHead()
-	if board == nil || board.Largest == (mothferry.Resources{}) {
+	if board == nil || board.MaxCapacity == (mothferry.Resources{}) {
 		return false
 	}
 	for number := range job.Steps {
 		need := job.Steps[number].Room()
-		if need.Fits(board.Largest) {
+		if need.Fits(board.MaxCapacity) {
 			continue
 		}
 		if known, err := i.mayBeAccepted(ctx, id); err != nil || known {
 			return false
 		}
 		i.Log.WithFields(log.Fields{
-			"job": id, "step": number, "needs": need, "largest": board.Largest, "owner": board.Holder, "epoch": board.Epoch, "outcome": OutcomeNotRun,
+			"job": id, "step": number, "needs": need, "largest": board.MaxCapacity, "owner": board.Holder, "epoch": board.Epoch, "outcome": OutcomeNotRun,
 		}).Info("job is refused, no machine is large enough")
 		return true
 	}
@@ -98,7 +98,7 @@
 func (i *Intake) Refuse(ctx context.Context, id mothferry.JobID, queue mfqueue.Queue, job mfjob.Submission) (time.Duration, bool) {
 	board := i.lastHead()
 	now := i.Clock.Now()
-	if board == nil || now.Sub(board.Read) > maxHeadAge || job.Lasts() || job.Repeat > 0 {
+	if board == nil || now.Sub(board.ReadAt) > maxHeadAge || job.Lasts() || job.Repeat > 0 {
 		return 0, false
 	}
 	r := i.refusalFor(board, queue, job, now)
@@ -135,7 +135,7 @@
 	if board.Shares != nil && !i.Off[mothferry.FeatureShares] {
 		return i.refusalByShare(board, queue, job, now)
 	}
-	r := refusal{wait: board.Waits[queue.Service], objective: aim, criticalPath: chain, fields: log.Fields{"wait_age_ms": now.Sub(board.Read).Milliseconds()}}
+	r := refusal{wait: board.EstimatedWaits[queue.Service], objective: aim, criticalPath: chain, fields: log.Fields{"wait_age_ms": now.Sub(board.ReadAt).Milliseconds()}}
 	if v := Evaluate(r.wait, chain, aim); v.TooLate {
 		r.outcome, r.reason, r.retryAfter = RefusedQueue, reasonQueue, i.jitter(v.RetryAfter)
 	}
@@ -145,13 +145,13 @@
 // refusalByShare decides on a job by what its own account has waiting and is due. A word
 // that is not renewed tells nothing of what came since.
 func (i *Intake) refusalByShare(board *mfrecord.Head, queue mfqueue.Queue, job mfjob.Submission, now time.Time) refusal {
-	chain, age := job.Chain(), now.Sub(board.Since)
+	chain, age := job.Chain(), now.Sub(board.FirstReadAt)
 	r := refusal{objective: mfjob.Objective(queue.Stretch, queue.Latency, chain), criticalPath: chain}
 	if age > maxHeadAge {
 		return r
 	}
 	i.mutex.Lock()
-	a := i.gate.Judge(board.Shares, board.Since, mfshare.Request{
+	a := i.gate.Judge(board.Shares, board.FirstReadAt, mfshare.Request{
 		Flow: mfshare.Flow{Service: queue.Service, Account: job.Account}, Work: job.Work(), Chain: chain, Aim: r.objective,
 	}, now)
 	i.mutex.Unlock()
--- a/mfintake/admission_test.go
+++ b/mfintake/admission_test.go
@@ -41,16 +41,16 @@
 func TestStaleCountIsNotReported(t *testing.T) {
 	clock := mffake.NewClock()
 	now := clock.Now()
-	board := mfrecord.Head{Counted: true, Pending: map[mothferry.QueueID]int{"q": 3}, Since: now, Read: now}
+	board := mfrecord.Head{PendingKnown: true, Pending: map[mothferry.QueueID]int{"q": 3}, FirstReadAt: now, ReadAt: now}
 	i := &mfintake.Intake{Clock: clock, Log: mflog.Discard(), LastHead: func() *mfrecord.Head { return &board }}
 	n, known := i.Pending("q")
 	assert.Assert(t, known)
 	assert.Equal(t, n, 3)
 	clock.Advance(3 * time.Second)
-	board.Read = clock.Now()
+	board.ReadAt = clock.Now()
 	_, known = i.Pending("q")
 	assert.Assert(t, !known, "the owner has not been heard for three seconds")
-	board.Since, board.Counted = board.Read, false
+	board.FirstReadAt, board.PendingKnown = board.ReadAt, false
 	_, known = i.Pending("q")
 	assert.Assert(t, !known, "the owner has not counted yet")
 }
@@ -61,7 +61,7 @@
 func TestFinishedJobIsNotRefused(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	i := newIntake(rows)
-	board := mfrecord.Head{Waits: map[mothferry.ServiceID]time.Duration{"s": time.Hour}, Read: time.Now()}
+	board := mfrecord.Head{EstimatedWaits: map[mothferry.ServiceID]time.Duration{"s": time.Hour}, ReadAt: time.Now()}
 	i.LastHead = func() *mfrecord.Head { return &board }
 	queue := mfqueue.Queue{ID: "q", Service: "s", Stretch: 1.6, Latency: time.Second}
 	_, refused := i.Refuse(context.Background(), id, queue, submission())
@@ -85,7 +85,7 @@
 	job := submission()
 	job.Steps[0].Need = mothferry.Resources{Cores: 32000}
 	assert.Assert(t, !i.TooLarge(context.Background(), id, job))
-	board.Largest = mothferry.Resources{Cores: 16000, Memory: mothferry.Gibibyte}
+	board.MaxCapacity = mothferry.Resources{Cores: 16000, Memory: mothferry.Gibibyte}
 	assert.Assert(t, i.TooLarge(context.Background(), id, job))
 	assert.Assert(t, !i.TooLarge(context.Background(), id, submission()))
 	filling := job
@@ -98,7 +98,7 @@
 // newSharingIntake returns an intake whose owner tells that one account waits long in a service.
 func newSharingIntake(rows *mfstandin.Rows, limit bool) (*mfintake.Intake, *mfrecord.Head, map[mfintake.SubmitResult]int) {
 	i := newIntake(rows)
-	board := &mfrecord.Head{Read: time.Now(), Since: time.Now(), Shares: mfshare.Standing{
+	board := &mfrecord.Head{ReadAt: time.Now(), FirstReadAt: time.Now(), Shares: mfshare.Standing{
 		{Service: "s", Account: "hot"}: {Wait: time.Hour, Rate: 1, Limit: limit},
 	}}
 	counts := map[mfintake.SubmitResult]int{}
@@ -138,10 +138,10 @@
 // Guarded against: a word that was not renewed refuses for good, or the feature acts while it is off.
 func TestStaleHeadRefusesNothing(t *testing.T) {
 	i, board, _ := newSharingIntake(&mfstandin.Rows{}, false)
-	board.Since = time.Now().Add(-2 * time.Second)
+	board.FirstReadAt = time.Now().Add(-2 * time.Second)
 	_, refused := i.Refuse(context.Background(), id, sharedQueue, submissionOf("hot"))
 	assert.Assert(t, !refused)
-	board.Since = time.Now()
+	board.FirstReadAt = time.Now()
 	i.Off = mothferry.FeaturesOff{mothferry.FeatureShares: true}
 	_, refused = i.Refuse(context.Background(), id, sharedQueue, submissionOf("hot"))
 	assert.Assert(t, !refused)
--- a/mfowner/commit.go
+++ b/mfowner/commit.go
@@ -15,14 +15,14 @@
 	now := s.owner.Clock.Now()
 	rows := s.journal.Write(c.Progress)
 	head := mfrecord.Head{Holder: s.owner.Daemon, Epoch: s.committer.head.Epoch, Cores: s.owner.cores(), LeaseTail: s.leaseTail(now)}
-	head.Called, head.Largest = s.callAges(now), s.machines.maxCapacity
+	head.CallAges, head.MaxCapacity = s.callAges(now), s.machines.maxCapacity
 	head.CalledBy = maps.Clone(s.machines.calledBy)
 	if pending, known := s.state.Pending(); known {
-		head.Counted, head.Pending, head.Waits = true, pending, s.state.Waits(now)
+		head.PendingKnown, head.Pending, head.EstimatedWaits = true, pending, s.state.Waits(now)
 		head.Shares = s.shares(now)
 	}
 	board := head
-	board.Read, board.Since = now, now
+	board.ReadAt, board.FirstReadAt = now, now
 	s.owner.lastHead.Store(&board)
 	rows = append(rows, s.progressDeletes(mfjournal.MaxRows-len(rows))...)
 	rows = append(rows, s.waveRows()...)
--- a/mfowner/handover.go
+++ b/mfowner/handover.go
@@ -52,7 +52,7 @@
 func (f predecessorCalls) otherCallers() map[mothferry.MachineID]mothferry.DaemonID {
 	others := map[mothferry.MachineID]mothferry.DaemonID{}
 	for m := range f.ages {
-		if by := f.head.AskedBy(m); by != f.self {
+		if by := f.head.CallingDaemon(m); by != f.self {
 			others[m] = by
 		}
 	}
@@ -63,7 +63,7 @@
 func (f predecessorCalls) blocked(now time.Time, pause time.Duration) map[mothferry.MachineID]bool {
 	blocked := map[mothferry.MachineID]bool{}
 	for m, ago := range f.ages {
-		if f.head.AskedBy(m) != f.self && now.Before(f.lastCommit.Add(pause-ago)) {
+		if f.head.CallingDaemon(m) != f.self && now.Before(f.lastCommit.Add(pause-ago)) {
 			blocked[m] = true
 		}
 	}
--- a/mfowner/handover_test.go
+++ b/mfowner/handover_test.go
@@ -39,10 +39,10 @@
 	last := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	o := &Owner{Daemon: "h-2", MachineHandoverDelay: 3 * time.Second}
 	head := mfrecord.Head{
-		Holder: "h-2", Called: map[mothferry.MachineID]time.Duration{"own": time.Second, "inherited": time.Second},
+		Holder: "h-2", CallAges: map[mothferry.MachineID]time.Duration{"own": time.Second, "inherited": time.Second},
 		CalledBy: map[mothferry.MachineID]mothferry.DaemonID{"inherited": "h-1"},
 	}
-	f := predecessorCalls{lastCommit: last, self: o.Daemon, head: head, ages: head.Called}
+	f := predecessorCalls{lastCommit: last, self: o.Daemon, head: head, ages: head.CallAges}
 	assert.DeepEqual(t, f.blocked(last.Add(time.Second), o.handoverDelay()), map[mothferry.MachineID]bool{"inherited": true})
 	// What its successor is told: the machine stays another host's.
 	assert.DeepEqual(t, f.otherCallers(), map[mothferry.MachineID]mothferry.DaemonID{"inherited": "h-1"})
@@ -63,8 +63,8 @@
 	s.inheritCalls()
 	assert.Equal(t, len(s.predecessor.blocked(now, o.handoverDelay())), 0)
 	s.machines.queued = []mfduty.Call{{Machine: "m"}}
-	head := mfrecord.Head{Holder: "h-2", Called: s.callAges(now), CalledBy: s.machines.calledBy}
-	successor := predecessorCalls{lastCommit: now, self: "h-1", head: head, ages: head.Called}
+	head := mfrecord.Head{Holder: "h-2", CallAges: s.callAges(now), CalledBy: s.machines.calledBy}
+	successor := predecessorCalls{lastCommit: now, self: "h-1", head: head, ages: head.CallAges}
 	assert.DeepEqual(t, successor.blocked(now.Add(time.Second), o.handoverDelay()), map[mothferry.MachineID]bool{"m": true})
 }
 
@@ -75,12 +75,12 @@
 	for _, takes := range []time.Duration{10 * time.Millisecond, 650 * time.Millisecond, 1200 * time.Millisecond} {
 		s := &session{owner: o, machines: newMachineControl(nil), confirmedAt: sent, commitLatency: takes}
 		s.machines.queued = []mfduty.Call{{Machine: "m"}}
-		head := mfrecord.Head{Holder: "h-1", Called: s.callAges(sent)}
+		head := mfrecord.Head{Holder: "h-1", CallAges: s.callAges(sent)}
 		stored := sent.Add(takes)
 		assert.Assert(t, s.confirmedWithin(s.machines.callWindow, stored), "commits of %v", takes)
 		latest := sent.Add(s.machines.callWindow)
 		assert.Assert(t, !s.confirmedWithin(s.machines.callWindow, latest))
-		f := predecessorCalls{lastCommit: sent, self: "h-2", head: head, ages: head.Called}
+		f := predecessorCalls{lastCommit: sent, self: "h-2", head: head, ages: head.CallAges}
 		free := latest.Add(callTimeout + o.MachineHandoverDelay)
 		assert.Equal(t, len(f.blocked(free, o.handoverDelay())), 1, "commits of %v", takes)
 		assert.Equal(t, len(f.blocked(free.Add(handoverMargin), o.handoverDelay())), 0, "commits of %v", takes)
--- a/mfowner/head.go
+++ b/mfowner/head.go
@@ -130,7 +130,7 @@
 func readHead(ctx context.Context, store mothferry.RowStore) (observation, error) {
 	page, err := store.Range(ctx, mothferry.RowRange{
 		Table: mfrecord.TableOwner, Part: mfrecord.PartShard,
-		From: mfrecord.KeyHead, To: mfrecord.KeyStrength + "\x00",
+		From: mfrecord.KeyHead, To: mfrecord.KeyMaxCores + "\x00",
 	})
 	var s observation
 	for _, r := range page.Rows {
@@ -138,7 +138,7 @@
 		case mfrecord.KeyHead:
 			s.version = r.Version
 			s.head, err = mfrecord.DecodeHead(r.Value)
-		case mfrecord.KeyStrength:
+		case mfrecord.KeyMaxCores:
 			s.maxCoresVersion = r.Version
 			cores, _ := strconv.ParseInt(string(r.Value), 10, 64)
 			s.maxCores = mothferry.Millicores(cores)
@@ -154,8 +154,8 @@
 // If another host does so at the same time, the next look brings its figure.
 func writeMaxCores(ctx context.Context, store mothferry.RowStore, cores mothferry.Millicores, version mothferry.Version) error {
 	_, err := store.Commit(ctx, mothferry.Txn{
-		Checks: []mothferry.Check{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyStrength, Version: version}},
-		Writes: []mothferry.Write{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyStrength, Value: []byte(strconv.FormatInt(int64(cores), 10))}},
+		Checks: []mothferry.Check{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyMaxCores, Version: version}},
+		Writes: []mothferry.Write{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyMaxCores, Value: []byte(strconv.FormatInt(int64(cores), 10))}},
 	})
 	var conflict *mothferry.ErrConflict
 	if errors.As(err, &conflict) {
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -148,7 +148,7 @@
 	now := o.Clock.Now()
 	next.readLatency = now.Sub(began)
 	seen = seen.observe(next, now)
-	head.Read, head.Since = now, seen.firstReadAt
+	head.ReadAt, head.FirstReadAt = now, seen.firstReadAt
 	o.lastHead.Store(&head)
 	if o.Cores > seen.maxCores {
 		if err := writeMaxCores(ctx, o.Store, o.Cores, seen.maxCoresVersion); err != nil {
@@ -171,8 +171,8 @@
 	err := c.write(ctx, mfrecord.Head{
 		Holder: o.Daemon, Epoch: seen.head.Epoch + 1, Cores: o.cores(),
 		// Until this owner has written anew its predecessor's leases count too.
-		LeaseTail: max(o.Limits.LeaseTail(), seen.head.LeaseTail), Called: seen.head.Called,
-		CalledBy: predecessorCalls{ages: seen.head.Called, head: seen.head, self: o.Daemon}.otherCallers(),
+		LeaseTail: max(o.Limits.LeaseTail(), seen.head.LeaseTail), CallAges: seen.head.CallAges,
+		CalledBy: predecessorCalls{ages: seen.head.CallAges, head: seen.head, self: o.Daemon}.otherCallers(),
 	}, nil)
 	entry := o.Log.WithFields(log.Fields{"epoch": seen.head.Epoch + 1, "former": seen.head.Holder, "unchanged_ms": seen.unchanged().Milliseconds(), "paused_ms": seen.paused.Milliseconds(), "millicores": o.cores()})
 	if err != nil {
--- a/mfowner/session.go
+++ b/mfowner/session.go
@@ -91,7 +91,7 @@
 		events:         make(chan mfsched.Event, eventBuffer),
 		loopFuncs:      make(chan func(), eventBuffer),
 		machines:       newMachineControl(o.Off),
-		predecessor:    predecessorCalls{lastCommit: former, ages: seen.head.Called, head: seen.head, self: o.Daemon},
+		predecessor:    predecessorCalls{lastCommit: former, ages: seen.head.CallAges, head: seen.head, self: o.Daemon},
 		confirmedAt:    taken,
 		commitResult:   make(chan error, 1),
 		progressLoaded: make(chan struct{}),
--- a/mfowner/successor_test.go
+++ b/mfowner/successor_test.go
@@ -234,7 +234,7 @@
 		assert.NilError(t, err)
 		return seen.head
 	}
-	waitFor(t, "the second owner stores something", func() bool { return head().Counted })
+	waitFor(t, "the second owner stores something", func() bool { return head().PendingKnown })
 	assert.Assert(t, head().LeaseTail > time.Minute-time.Since(began), "%v", head().LeaseTail)
 	cancel()
 	running.Wait()
--- a/mfrecord/record.go
+++ b/mfrecord/record.go
@@ -64,8 +64,8 @@
 // KeyHead is the key of the row that names a shard's owner.
 const KeyHead mothferry.Key = "head"
 
-// KeyStrength is the key of the row that tells the strongest host's share.
-const KeyStrength mothferry.Key = "strength"
+// KeyMaxCores is the key of the row that tells the strongest host's share.
+const KeyMaxCores mothferry.Key = "strength"
 
 const (
 	prefixJob    = "job/"
@@ -117,29 +117,29 @@
 	LeaseTail time.Duration
 	// Token names the commit that wrote the row.
 	Token mothferry.Token
-	// Counted says that Pending is known: a successor does not count before it
+	// PendingKnown says that Pending is known: a successor does not count before it
 	// has read all jobs.
-	Counted bool
+	PendingKnown bool
 	// Pending counts the accepted jobs of each queue that have not begun.
 	Pending map[mothferry.QueueID]int
-	// Waits is how long work that comes now would wait in each service.
-	Waits map[mothferry.ServiceID]time.Duration
+	// EstimatedWaits is how long work that comes now would wait in each service.
+	EstimatedWaits map[mothferry.ServiceID]time.Duration
 	// Shares is how the work of client accounts stands that waits, of the longest waits;
 	// nil where room is not divided among accounts.
 	Shares mfshare.Standing
-	// Largest is the most of each resource that any machine has; zero while the
+	// MaxCapacity is the most of each resource that any machine has; zero while the
 	// owner has not listed machines.
-	Largest mothferry.Resources
-	// Called holds the machines that this owner, or its predecessor, may have
+	MaxCapacity mothferry.Resources
+	// CallAges holds the machines that this owner, or its predecessor, may have
 	// asked for changes of lately, and how long before this commit: negative for
 	// those that may still be asked for. An owner asks only once that is stored.
-	Called map[mothferry.MachineID]time.Duration
+	CallAges map[mothferry.MachineID]time.Duration
 	// CalledBy tells of the machines in Called that the holder itself did not ask
 	// for who did.
 	CalledBy map[mothferry.MachineID]mothferry.DaemonID
-	// Read is when this host read the row, Since when it first read this version
+	// ReadAt is when this host read the row, Since when it first read this version
 	// of it; neither is stored.
-	Read, Since time.Time
+	ReadAt, FirstReadAt time.Time
 }
 
 type storedHead struct {
@@ -167,9 +167,9 @@
 // Error implements error.
 func (e *ErrNewerHead) Error() string { return "the shard's owner runs a newer version of the program" }
 
-// AskedBy returns who asked for a machine in Called; empty if the holder did and
+// CallingDaemon returns who asked for a machine in Called; empty if the holder did and
 // has given the shard up since.
-func (h Head) AskedBy(machine mothferry.MachineID) mothferry.DaemonID {
+func (h Head) CallingDaemon(machine mothferry.MachineID) mothferry.DaemonID {
 	if by, other := h.CalledBy[machine]; other {
 		return by
 	}
@@ -180,19 +180,19 @@
 func (h Head) Encode() ([]byte, error) {
 	stored := storedHead{
 		Format: headFormat, Holder: h.Holder, Epoch: h.Epoch, Cores: h.Cores,
-		TailMs: h.LeaseTail.Milliseconds(), Token: h.Token, Counted: h.Counted, Pending: h.Pending, CalledBy: h.CalledBy,
+		TailMs: h.LeaseTail.Milliseconds(), Token: h.Token, Counted: h.PendingKnown, Pending: h.Pending, CalledBy: h.CalledBy,
 		CalledMs: map[mothferry.MachineID]int64{}, WaitMs: map[mothferry.ServiceID]int64{},
 	}
-	for service, wait := range h.Waits {
+	for service, wait := range h.EstimatedWaits {
 		stored.WaitMs[service] = wait.Milliseconds()
 	}
 	if h.Shares != nil {
-		stored.Shares = storeShares(h.Shares)
+		stored.Shares = encodeShares(h.Shares)
 	}
-	if h.Largest != (mothferry.Resources{}) {
-		stored.Largest = &h.Largest
+	if h.MaxCapacity != (mothferry.Resources{}) {
+		stored.Largest = &h.MaxCapacity
 	}
-	for machine, ago := range h.Called {
+	for machine, ago := range h.CallAges {
 		stored.CalledMs[machine] = ago.Milliseconds()
 	}
 	data, err := json.Marshal(stored)
@@ -210,23 +210,23 @@
 	}
 	h := Head{
 		Holder: s.Holder, Epoch: s.Epoch, Cores: s.Cores, LeaseTail: time.Duration(s.TailMs) * time.Millisecond,
-		Token: s.Token, Counted: s.Counted, Pending: s.Pending, CalledBy: s.CalledBy,
-		Called: map[mothferry.MachineID]time.Duration{}, Waits: map[mothferry.ServiceID]time.Duration{},
+		Token: s.Token, PendingKnown: s.Counted, Pending: s.Pending, CalledBy: s.CalledBy,
+		CallAges: map[mothferry.MachineID]time.Duration{}, EstimatedWaits: map[mothferry.ServiceID]time.Duration{},
 	}
 	for service, ms := range s.WaitMs {
-		h.Waits[service] = time.Duration(ms) * time.Millisecond
+		h.EstimatedWaits[service] = time.Duration(ms) * time.Millisecond
 	}
 	if s.Shares != nil {
-		h.Shares = s.Shares.standing()
+		h.Shares = s.Shares.decode()
 	}
 	if s.Largest != nil {
-		h.Largest = *s.Largest
+		h.MaxCapacity = *s.Largest
 	}
 	for _, machine := range s.Called {
-		h.Called[machine] = 0
+		h.CallAges[machine] = 0
 	}
 	for machine, ms := range s.CalledMs {
-		h.Called[machine] = time.Duration(ms) * time.Millisecond
+		h.CallAges[machine] = time.Duration(ms) * time.Millisecond
 	}
 	return h, nil
 }
--- a/mfrecord/record_test.go
+++ b/mfrecord/record_test.go
@@ -12,11 +12,11 @@
 	"mothferry/mfshare"
 )
 
-func TestHeadIsStoredWhole(t *testing.T) {
+func TestHeadRoundTrip(t *testing.T) {
 	want := mfrecord.Head{
 		Holder: "h-1", Epoch: 7, Cores: 400, LeaseTail: 8800 * time.Millisecond, Token: "h-1/1/2",
-		Pending: map[mothferry.QueueID]int{"q": 3}, Waits: map[mothferry.ServiceID]time.Duration{"s": time.Second},
-		Called: map[mothferry.MachineID]time.Duration{"m-1": 2 * time.Second}, Largest: mothferry.Resources{Cores: 16000, Memory: mothferry.Gibibyte},
+		Pending: map[mothferry.QueueID]int{"q": 3}, EstimatedWaits: map[mothferry.ServiceID]time.Duration{"s": time.Second},
+		CallAges: map[mothferry.MachineID]time.Duration{"m-1": 2 * time.Second}, MaxCapacity: mothferry.Resources{Cores: 16000, Memory: mothferry.Gibibyte},
 	}
 	data, err := want.Encode()
 	assert.NilError(t, err)
@@ -29,13 +29,13 @@
 
 // A row of the older format says which machines were asked for, not when: they
 // count as asked for just then.
-func TestOlderHeadIsRead(t *testing.T) {
+func TestDecodeHeadFormat1(t *testing.T) {
 	got, err := mfrecord.DecodeHead([]byte(`{"format":1,"holder":"h-1","epoch":3,"called":["m-1"]}`))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got.Called, map[mothferry.MachineID]time.Duration{"m-1": 0})
+	assert.DeepEqual(t, got.CallAges, map[mothferry.MachineID]time.Duration{"m-1": 0})
 }
 
-func TestInboxPartsAreKnown(t *testing.T) {
+func TestInboxPartIsListed(t *testing.T) {
 	known := map[mothferry.PartID]bool{}
 	for _, p := range mfrecord.InboxParts() {
 		known[p] = true
@@ -46,7 +46,7 @@
 }
 
 // Failure guarded against: a host's row of an older program can't be read, or names an address at which nobody carries calls out.
-func TestHostRowsOfOlderProgramsAreRead(t *testing.T) {
+func TestDecodeHostWithoutForward(t *testing.T) {
 	old, err := mfrecord.DecodeHost("h-1", []byte(`{"format":1,"data_centre":"a","address":"10.0.0.1:7060","cores":400}`))
 	assert.NilError(t, err)
 	assert.Equal(t, old, mfrecord.Host{Daemon: "h-1", DataCentre: "a", Address: "10.0.0.1:7060", Cores: 400})
@@ -59,7 +59,7 @@
 }
 
 // Guarded against: the owner's word on accounts' shares takes more of hosts' links than they have.
-func TestSharesAreStoredCompactly(t *testing.T) {
+func TestStoredSharesAreCompact(t *testing.T) {
 	s := mfshare.Standing{}
 	for a := range 230 {
 		for p := range 121 {
--- a/mfrecord/share.go
+++ b/mfrecord/share.go
@@ -13,7 +13,7 @@
 // the wait, and the mean work of a job in core-milliseconds. A row of numbers takes a third of the bytes of named fields.
 type storedShares map[mothferry.ServiceID]map[mothferry.AccountID][5]int64
 
-func storeShares(s mfshare.Standing) *storedShares {
+func encodeShares(s mfshare.Standing) *storedShares {
 	out := storedShares{}
 	for flow, e := range s {
 		if out[flow.Service] == nil {
@@ -23,14 +23,14 @@
 		if e.Limit {
 			limit = 1
 		}
-		out[flow.Service][flow.Account] = [5]int64{e.Wait.Milliseconds(), millicores(e.Rate), millicores(e.Accepted), limit, millicores(e.Mean)}
+		out[flow.Service][flow.Account] = [5]int64{e.Wait.Milliseconds(), toMilli(e.Rate), toMilli(e.Accepted), limit, toMilli(e.Mean)}
 	}
 	return &out
 }
 
-func millicores(cores float64) int64 { return int64(math.Round(cores * 1000)) }
+func toMilli(cores float64) int64 { return int64(math.Round(cores * 1000)) }
 
-func (s storedShares) standing() mfshare.Standing {
+func (s storedShares) decode() mfshare.Standing {
 	out := mfshare.Standing{}
 	for service, accounts := range s {
 		for id, row := range accounts {
