--- a/mfsched/uneven_fault_test.go
+++ b/mfsched/uneven_fault_test.go
@@ -11,8 +11,8 @@
 	"mothferry/mfsched"
 )
 
-// only has all workers leave but some.
-func (p *pool) only(stay ...mothferry.WorkerID) {
+// drainAllExcept has all workers leave but some.
+func (p *simPool) drainAllExcept(stay ...mothferry.WorkerID) {
 	leaving := map[mothferry.WorkerID]bool{}
 	for _, id := range p.workers {
 		leaving[id] = true
@@ -20,11 +20,11 @@
 	for _, id := range stay {
 		delete(leaving, id)
 	}
-	p.step(mfsched.WorkersLeaving{Workers: leaving})
+	p.step(mfsched.WorkersToEvacuate{Workers: leaving})
 }
 
-// restarts counts how often tasks of a job were stopped for being behind; of all jobs for none.
-func (p *pool) restarts(job mothferry.JobID) int {
+// countRestarts counts how often tasks of a job were stopped for being behind; of all jobs for none.
+func (p *simPool) countRestarts(job mothferry.JobID) int {
 	count := 0
 	for _, d := range p.logged {
 		if d.Message == mfsched.MessageRestarted && (job == "" || d.Job == job) {
@@ -36,13 +36,13 @@
 
 // Guards against an owner that stood still for a second and takes its workers as slow, as their
 // answers are older than it thinks.
-func TestPausedOwnerFindsNobodySlow(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.pass(20 * time.Millisecond)
-	p.work(20 * time.Millisecond)
-	var answers []mfsched.LookAnswered
-	for _, l := range taken[mfsched.Look](p.script) {
+func TestPausedOwnerMarksNoWorkerSlow(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.advance(20 * time.Millisecond)
+	p.advanceRuns(20 * time.Millisecond)
+	var answers []mfsched.PollAnswered
+	for _, l := range takeCommands[mfsched.Poll](p.script) {
 		answers = append(answers, p.answerTo(l))
 	}
 	assert.Assert(t, len(answers) > 2)
@@ -50,30 +50,30 @@
 	for _, a := range answers {
 		p.step(a)
 	}
-	p.work(time.Second)
-	p.play(300 * time.Millisecond)
-	assert.Equal(t, p.count(mfsched.MessageSlow), 0)
-	assert.Equal(t, p.restarts(""), 0)
+	p.advanceRuns(time.Second)
+	p.simulate(300 * time.Millisecond)
+	assert.Equal(t, p.countLogged(mfsched.MessageSlow), 0)
+	assert.Equal(t, p.countRestarts(""), 0)
 }
 
 // Guards against an owner that stood still for a while and stops long tasks all over its shard, as
 // answers that waited for it show them where the looks before did.
-func TestPausedOwnerTakesNoTaskAsHanging(t *testing.T) {
-	p := newPool(t, 6)
+func TestPausedOwnerTreatsNoTaskAsHung(t *testing.T) {
+	p := newSimPool(t, 6)
 	busy := func(d time.Duration) {
 		for range int(d / (500 * time.Millisecond)) {
 			id := jobID(fmt.Sprintf("l-%d", p.now.UnixNano()))
 			long := submission(p.now, 10)
-			long.Steps[0].Estimate, p.longer[id] = 5*poolTakes, 5
+			long.Steps[0].Estimate, p.durationFactor[id] = 5*simTaskDuration, 5
 			p.step(mfsched.JobFound{Job: id, Submission: long})
-			p.play(500 * time.Millisecond)
+			p.simulate(500 * time.Millisecond)
 		}
 	}
 	busy(6 * time.Second)
-	p.pass(20 * time.Millisecond)
-	p.work(20 * time.Millisecond)
-	var answers []mfsched.LookAnswered
-	for _, l := range taken[mfsched.Look](p.script) {
+	p.advance(20 * time.Millisecond)
+	p.advanceRuns(20 * time.Millisecond)
+	var answers []mfsched.PollAnswered
+	for _, l := range takeCommands[mfsched.Poll](p.script) {
 		answers = append(answers, p.answerTo(l))
 	}
 	assert.Assert(t, len(answers) > 2)
@@ -81,72 +81,72 @@
 	for _, a := range answers {
 		p.step(a)
 	}
-	p.work(1500 * time.Millisecond)
-	p.play(300 * time.Millisecond)
-	assert.Equal(t, p.count("task stands still"), 0)
+	p.advanceRuns(1500 * time.Millisecond)
+	p.simulate(300 * time.Millisecond)
+	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
 // Guards against tasks that are stopped one after the other for the same room elsewhere while the
 // first of them is still ending.
-func TestRoomIsPromisedToOneTask(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.play(time.Second)
-	p.only("w-1")
+func TestFreeCapacityIsReservedForOneTask(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.simulate(time.Second)
+	p.drainAllExcept("w-1")
 	hog := submission(p.now, 1)
 	hog.Steps[0].Need.Cores, hog.Steps[0].Estimate, hog.Steps[0].Image = 15000, time.Minute, "hog"
 	p.step(mfsched.JobFound{Job: "hog", Submission: hog})
-	p.play(100 * time.Millisecond)
-	assert.Assert(t, p.runsOn("hog", "w-1"))
-	p.pace["w-1"] = 0
-	p.only("w-0")
+	p.simulate(100 * time.Millisecond)
+	assert.Assert(t, p.hasRun("hog", "w-1"))
+	p.speed["w-1"] = 0
+	p.drainAllExcept("w-0")
 	p.submit("victims", 10)
-	p.play(100 * time.Millisecond)
-	p.only("w-0", "w-1")
-	p.pace["w-0"], p.lost["w-0"] = 0.1, true
-	p.play(1500 * time.Millisecond)
-	assert.Assert(t, p.restarts("victims") > 0)
-	assert.Assert(t, p.restarts("victims") <= 1, "%d tasks are stopped for the room of one", p.restarts("victims"))
+	p.simulate(100 * time.Millisecond)
+	p.drainAllExcept("w-0", "w-1")
+	p.speed["w-0"], p.dropStops["w-0"] = 0.1, true
+	p.simulate(1500 * time.Millisecond)
+	assert.Assert(t, p.countRestarts("victims") > 0)
+	assert.Assert(t, p.countRestarts("victims") <= 1, "%d tasks are stopped for the room of one", p.countRestarts("victims"))
 }
 
 // Guards against work that is stopped, and done twice, though no worker is of more use than another.
-func TestNothingIsStoppedWhereAllAreSlow(t *testing.T) {
-	p := newPool(t, 10)
+func TestNoTaskIsStoppedWhenAllWorkersAreSlow(t *testing.T) {
+	p := newSimPool(t, 10)
 	p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
 		queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 2 * time.Second},
 	}})
-	p.keepBusy(2 * time.Second)
+	p.submitSteadily(2 * time.Second)
 	for _, id := range p.workers {
-		p.pace[id] = 0.1
+		p.speed[id] = 0.1
 	}
-	p.keepBusy(5 * time.Second)
-	assert.Equal(t, p.restarts(""), 0)
+	p.submitSteadily(5 * time.Second)
+	assert.Equal(t, p.countRestarts(""), 0)
 }
 
 // Guards against workers that are blamed for one job whose estimate is far too low, and whose
 // tasks take as long anywhere.
-func TestOneJobSaysNothingOfItsWorkers(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.longer["long"] = 5
+func TestSingleLongJobIsNotRestarted(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.durationFactor["long"] = 5
 	p.submit("long", 24)
-	p.keepBusy(2 * time.Second)
-	assert.Equal(t, p.restarts("long"), 0)
+	p.submitSteadily(2 * time.Second)
+	assert.Equal(t, p.countRestarts("long"), 0)
 }
 
 // Guards against tasks that are taken to hang as their worker stood still for a moment, and are
 // all stopped when it answers again.
-func TestTasksOfAPausedWorkerGoOn(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
+func TestTasksOfPausedWorkerAreNotStopped(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
 	const frozen = 700 * time.Millisecond
-	held := map[mothferry.WorkerID][]mfsched.Look{}
-	pace := p.pace["w-0"]
-	p.pace["w-0"] = 0
+	held := map[mothferry.WorkerID][]mfsched.Poll{}
+	pace := p.speed["w-0"]
+	p.speed["w-0"] = 0
 	for end := p.now.Add(frozen); p.now.Before(end); {
-		p.pass(20 * time.Millisecond)
-		p.work(20 * time.Millisecond)
-		for _, l := range taken[mfsched.Look](p.script) {
+		p.advance(20 * time.Millisecond)
+		p.advanceRuns(20 * time.Millisecond)
+		for _, l := range takeCommands[mfsched.Poll](p.script) {
 			if l.At.Worker == "w-0" {
 				held["w-0"] = append(held["w-0"], l)
 				continue
@@ -155,43 +155,43 @@
 		}
 	}
 	assert.Assert(t, len(held["w-0"]) > 0)
-	p.pace["w-0"] = pace
+	p.speed["w-0"] = pace
 	for _, l := range held["w-0"] {
 		p.answer(l)
 	}
-	p.play(300 * time.Millisecond)
-	assert.Equal(t, p.count("task stands still"), 0)
+	p.simulate(300 * time.Millisecond)
+	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
 // Guards against a worker that stood still for longer than its looks wait, did not answer, and is taken
 // as slow for that time when it answers again.
-func TestWorkerThatStoodStillIsNotSlow(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	pace := p.pace["w-0"]
-	p.pace["w-0"] = 0
-	p.play(20 * time.Millisecond)
+func TestUnresponsiveWorkerIsNotMarkedSlow(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	pace := p.speed["w-0"]
+	p.speed["w-0"] = 0
+	p.simulate(20 * time.Millisecond)
 	for end := p.now.Add(time.Second); p.now.Before(end); {
-		p.pass(20 * time.Millisecond)
-		p.work(20 * time.Millisecond)
-		for _, l := range taken[mfsched.Look](p.script) {
+		p.advance(20 * time.Millisecond)
+		p.advanceRuns(20 * time.Millisecond)
+		for _, l := range takeCommands[mfsched.Poll](p.script) {
 			if l.At.Worker != "w-0" {
 				p.answer(l)
 				continue
 			}
-			p.step(mfsched.LookFailed{Worker: "w-0", Number: l.Number, Sent: p.now, Result: mfsched.ResultUnknown})
+			p.step(mfsched.PollFailed{Worker: "w-0", Number: l.Number, Sent: p.now, Result: mfsched.ResultUnknown})
 		}
 	}
-	p.pace["w-0"] = pace
-	p.keepBusy(time.Second)
-	assert.Equal(t, p.count(mfsched.MessageSlow), 0)
-	assert.Equal(t, p.count("task stands still"), 0)
+	p.speed["w-0"] = pace
+	p.submitSteadily(time.Second)
+	assert.Equal(t, p.countLogged(mfsched.MessageSlow), 0)
+	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
 // Guards against commands that come in another order when the same events are played again.
-func TestSlowWorkersAreToldInOneOrder(t *testing.T) {
+func TestSlowWorkersAreLoggedInFixedOrder(t *testing.T) {
 	tell := func() string {
-		p := newPool(t, 6)
+		p := newSimPool(t, 6)
 		p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
 			queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond},
 			"q2":  {Service: "s2", MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond},
@@ -199,7 +199,7 @@
 		for i := range 6 {
 			w := worker(mothferry.WorkerID(fmt.Sprintf("x-%d", i)))
 			w.Service = "s2"
-			p.workers, p.pace[w.At.Worker] = append(p.workers, w.At.Worker), 1
+			p.workers, p.speed[w.At.Worker] = append(p.workers, w.At.Worker), 1
 			p.step(mfsched.WorkerListed{Worker: w})
 		}
 		busy := func(d time.Duration) {
@@ -208,11 +208,11 @@
 				other := submission(p.now, 10)
 				other.Queue, other.Service = "q2", "s2"
 				p.step(mfsched.JobFound{Job: jobID(fmt.Sprintf("k-%d", p.now.UnixNano())), Submission: other})
-				p.play(100 * time.Millisecond)
+				p.simulate(100 * time.Millisecond)
 			}
 		}
 		busy(2 * time.Second)
-		p.pace["w-0"], p.pace["x-0"] = 0.2, 0.2
+		p.speed["w-0"], p.speed["x-0"] = 0.2, 0.2
 		busy(time.Second)
 		told := ""
 		for _, d := range p.logged {
@@ -231,85 +231,85 @@
 
 // Guards against a task that may have a copy and stays on a slow worker, as its account has no
 // room for two runs, where a task that may not is stopped and starts elsewhere.
-func TestTaskWithoutRoomForACopyStartsElsewhere(t *testing.T) {
+func TestTaskWithoutCapacityForCopyIsRestarted(t *testing.T) {
 	for _, speculative := range []bool{false, true} {
-		p := newPool(t, 6)
+		p := newSimPool(t, 6)
 		p.step(mfsched.ConfigChanged{
 			Queues: map[mothferry.QueueID]mfsched.Queue{
 				queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond},
 			},
-			Accounts: map[mothferry.AccountID]mfsched.Account{"a": {Most: mothferry.Resources{Cores: 1000}}},
+			Accounts: map[mothferry.AccountID]mfsched.Account{"a": {Limit: mothferry.Resources{Cores: 1000}}},
 		})
-		p.keepBusy(2 * time.Second)
-		p.only("w-0")
+		p.submitSteadily(2 * time.Second)
+		p.drainAllExcept("w-0")
 		s := submission(p.now, 1)
 		s.Account, s.Steps[0].Speculative = "a", speculative
 		p.step(mfsched.JobFound{Job: victim, Submission: s})
-		p.play(100 * time.Millisecond)
-		p.step(mfsched.WorkersLeaving{})
-		p.pace["w-0"] = 0.1
-		p.keepBusy(2 * time.Second)
-		assert.Equal(t, p.startsOf(victim), 2, "speculative %v", speculative)
+		p.simulate(100 * time.Millisecond)
+		p.step(mfsched.WorkersToEvacuate{})
+		p.speed["w-0"] = 0.1
+		p.submitSteadily(2 * time.Second)
+		assert.Equal(t, p.countStarts(victim), 2, "speculative %v", speculative)
 	}
 }
 
 // Guards against workers that are blamed for one job whose tasks hang anywhere.
-func TestOneJobThatHangsSaysNothingOfItsWorkers(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.longer["hangs"] = 1e9
+func TestSingleHungJobDoesNotMarkWorkersSlow(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.durationFactor["hangs"] = 1e9
 	p.submit("hangs", 16)
-	p.keepBusy(2 * time.Second)
-	assert.Equal(t, p.count(mfsched.MessageSlow), 0)
+	p.submitSteadily(2 * time.Second)
+	assert.Equal(t, p.countLogged(mfsched.MessageSlow), 0)
 }
 
 // Guards against a task that waits for room on workers which may not run it beside one that may.
-func TestTaskThatOnlyASlowWorkerMayRunIsNotHeld(t *testing.T) {
-	p := newPool(t, 6)
+func TestTaskRestrictedToSlowWorkerDoesNotWait(t *testing.T) {
+	p := newSimPool(t, 6)
 	labelled := worker("w-0")
 	labelled.Labels = []string{"kind"}
 	p.step(mfsched.WorkerListed{Worker: labelled})
-	p.keepBusy(2 * time.Second)
-	p.pace["w-0"] = 0.2
-	p.keepBusy(time.Second)
-	assert.DeepEqual(t, p.slow(), []mothferry.WorkerID{"w-0"})
+	p.submitSteadily(2 * time.Second)
+	p.speed["w-0"] = 0.2
+	p.submitSteadily(time.Second)
+	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
 	s := submission(p.now, 1)
 	s.Steps[0].Label = "kind"
 	p.step(mfsched.JobFound{Job: victim, Submission: s})
-	p.play(200 * time.Millisecond)
-	assert.Equal(t, p.startsOf(victim), 1)
+	p.simulate(200 * time.Millisecond)
+	assert.Equal(t, p.countStarts(victim), 1)
 }
 
 // Guards against slow workers that are never found where a wide step starts all at once: their runs
 // tell their rates last, and must not become what is usual.
-func TestSlowWorkersOfAWideStepAreFound(t *testing.T) {
+func TestSlowWorkersOfWideStepAreDetected(t *testing.T) {
 	const slow = 6
-	p := newPool(t, 20)
+	p := newSimPool(t, 20)
 	for _, id := range p.workers[:slow] {
-		p.pace[id] = 0.2
+		p.speed[id] = 0.2
 	}
 	wide := submission(p.now, 320)
-	wide.Steps[0].Estimate, p.longer["wide"] = 10*poolTakes, 10
+	wide.Steps[0].Estimate, p.durationFactor["wide"] = 10*simTaskDuration, 10
 	p.step(mfsched.JobFound{Job: "wide", Submission: wide})
-	p.play(4 * time.Second)
-	assert.DeepEqual(t, p.slow(), p.workers[:slow])
+	p.simulate(4 * time.Second)
+	assert.DeepEqual(t, p.slowWorkers(), p.workers[:slow])
 }
 
 // Guards against most tasks of a lasting step on one machine, whose end takes them all away, as
 // the others are slow: how fast tasks end there says nothing of what lasts.
-func TestLastingTasksAreSpreadOverSlowWorkersToo(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.pace["w-0"] = 0.2
-	p.keepBusy(time.Second)
-	p.play(3500 * time.Millisecond)
+func TestLastingTasksAreSpreadOverSlowWorkers(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.speed["w-0"] = 0.2
+	p.submitSteadily(time.Second)
+	p.simulate(3500 * time.Millisecond)
 	assert.Equal(t, len(p.runs["w-0"]), 0)
-	assert.DeepEqual(t, p.slow(), []mothferry.WorkerID{"w-0"})
-	p.only("w-0", "w-1")
+	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
+	p.drainAllExcept("w-0", "w-1")
 	lasting := submission(p.now, 10)
 	lasting.Steps[0].Lasting, lasting.Steps[0].MayMiss = true, 2
 	p.step(mfsched.JobFound{Job: "lasts", Submission: lasting})
-	p.play(100 * time.Millisecond)
+	p.simulate(100 * time.Millisecond)
 	on := map[mothferry.WorkerID]int{}
 	for _, c := range p.starts {
 		if c.Order.Task.Job == "lasts" {
@@ -321,15 +321,15 @@
 
 // Guards against a task that waits for room on a usual worker which has all tasks of its step that
 // it may have.
-func TestTaskBeyondWhatUsualWorkersMayHaveIsNotHeld(t *testing.T) {
-	p := newPool(t, 6)
-	p.keepBusy(2 * time.Second)
-	p.pace["w-0"] = 0.2
-	p.keepBusy(time.Second)
-	assert.DeepEqual(t, p.slow(), []mothferry.WorkerID{"w-0"})
+func TestTaskBeyondPerWorkerBoundDoesNotWait(t *testing.T) {
+	p := newSimPool(t, 6)
+	p.submitSteadily(2 * time.Second)
+	p.speed["w-0"] = 0.2
+	p.submitSteadily(time.Second)
+	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
 	s := submission(p.now, 6)
 	s.Steps[0].PerWorker = 1
 	p.step(mfsched.JobFound{Job: victim, Submission: s})
-	p.play(200 * time.Millisecond)
-	assert.Equal(t, p.startsOf(victim), 6)
+	p.simulate(200 * time.Millisecond)
+	assert.Equal(t, p.countStarts(victim), 6)
 }
--- a/mfsched/wait.go
+++ b/mfsched/wait.go
@@ -17,7 +17,7 @@
 		}
 		return b
 	}
-	for _, w := range s.roster {
+	for _, w := range s.sortedWorkers {
 		if w.listed && !w.Draining {
 			b := of(w.Service)
 			b.Cores += float64(w.Capacity.Cores) / 1000
@@ -43,14 +43,14 @@
 func (s *State) waitingWork(j *job, q Queue, now time.Time) float64 {
 	sum := 0.0
 	for _, o := range j.occurrences {
-		if o.due.After(now) {
+		if o.scheduledAt.After(now) {
 			break
 		}
-		if p, _ := s.weigh(j, o, q, now); p == prospectHopeless || p == prospectServing {
+		if p, _ := s.classify(j, o, q, now); p == classTooLate || p == classLasting {
 			continue
 		}
 		for _, p := range o.steps {
-			sum += work(p.of) * float64(p.waiting)
+			sum += coreSeconds(p.spec) * float64(p.waiting)
 		}
 	}
 	return sum
--- a/mfsched/wave.go
+++ b/mfsched/wave.go
@@ -12,5 +12,5 @@
 	Wave     mothferry.WaveID
 	Machines []mothferry.MachineID
 	Within   time.Duration
-	AtOnce   int
+	MaxDown  int
 }
