--- a/mfemulate/host.go
+++ b/mfemulate/host.go
@@ -98,7 +98,7 @@
 			o.sharesAt, o.shares = w.now, o.state.Allocations(w.now)
 		}
 		if o.shares != nil {
-			head.Shares = o.shares.Told(o.state.NoticeableWaits())
+			head.Shares = o.shares.Published(o.state.NoticeableWaits())
 		}
 	}
 	data, err := head.Encode()
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -25,7 +25,7 @@
 	version mothferry.Version
 	journal *mfjournal.Journal
 	// shares is how accounts stood when that was last worked out.
-	shares   mfshare.Standing
+	shares   mfshare.Allocation
 	sharesAt time.Time
 	// dead owners do nothing more; frozen ones keep what reaches them for later.
 	dead   bool
--- a/mffleet/share_test.go
+++ b/mffleet/share_test.go
@@ -25,7 +25,7 @@
 	m.jobEnded(mfsched.JobEnd{Queue: "q", Account: "a", End: mfsched.EndLate})
 	assert.DeepEqual(t, names(t, r), []string{"mothferry_account_jobs_total", "mothferry_handed_in_total"})
 	shares = &mfowner.Shares{
-		Standing: mfshare.Standing{{Service: "s", Account: "a"}: {Rate: 4}},
+		Standing: mfshare.Allocation{{Service: "s", Account: "a"}: {Rate: 4}},
 		Used:     map[mothferry.AccountID]float64{"a": 2},
 	}
 	assert.DeepEqual(t, names(t, r), []string{
--- a/mfintake/admission.go
+++ b/mfintake/admission.go
@@ -151,17 +151,17 @@
 		return r
 	}
 	i.mutex.Lock()
-	a := i.gate.Judge(board.Shares, board.FirstReadAt, mfshare.Request{
-		Flow: mfshare.Flow{Service: queue.Service, Account: job.Account}, Work: job.Work(), Chain: chain, Aim: r.objective,
+	a := i.gate.Decide(board.Shares, board.FirstReadAt, mfshare.Request{
+		Flow: mfshare.Flow{Service: queue.Service, Account: job.Account}, Work: job.Work(), CriticalPath: chain, Objective: r.objective,
 	}, now)
 	i.mutex.Unlock()
 	r.wait, r.reason = a.Wait, a.Refused
 	r.fields = log.Fields{"wait_age_ms": age.Milliseconds(), "share_cores": a.Share}
 	switch a.Refused {
 	case mfshare.ReasonLimit:
-		r.outcome, r.retryAfter = RefusedLimit, i.jitter(a.Again)
+		r.outcome, r.retryAfter = RefusedLimit, i.jitter(a.RetryAfter)
 	case mfshare.ReasonShare:
-		r.outcome, r.retryAfter = RefusedShare, i.jitter(a.Again)
+		r.outcome, r.retryAfter = RefusedShare, i.jitter(a.RetryAfter)
 	}
 	return r
 }
--- a/mfintake/admission_test.go
+++ b/mfintake/admission_test.go
@@ -98,8 +98,8 @@
 // newSharingIntake returns an intake whose owner tells that one account waits long in a service.
 func newSharingIntake(rows *mfstandin.Rows, limit bool) (*mfintake.Intake, *mfrecord.Head, map[mfintake.SubmitResult]int) {
 	i := newIntake(rows)
-	board := &mfrecord.Head{ReadAt: time.Now(), FirstReadAt: time.Now(), Shares: mfshare.Standing{
-		{Service: "s", Account: "hot"}: {Wait: time.Hour, Rate: 1, Limit: limit},
+	board := &mfrecord.Head{ReadAt: time.Now(), FirstReadAt: time.Now(), Shares: mfshare.Allocation{
+		{Service: "s", Account: "hot"}: {Wait: time.Hour, Rate: 1, AtLimit: limit},
 	}}
 	counts := map[mfintake.SubmitResult]int{}
 	i.LastHead = func() *mfrecord.Head { return board }
--- a/mfintake/intake.go
+++ b/mfintake/intake.go
@@ -56,7 +56,7 @@
 	OnResult func(queue mothferry.QueueID, account mothferry.AccountID, end SubmitResult)
 
 	mutex           sync.Mutex
-	gate            mfshare.Gate
+	gate            mfshare.AdmissionController
 	unresolvedSince map[mothferry.JobID]time.Time
 }
 
--- a/mfowner/commit.go
+++ b/mfowner/commit.go
@@ -44,14 +44,14 @@
 const sharesInterval = 200 * time.Millisecond
 
 // shares returns what hosts are told of accounts' shares.
-func (s *session) shares(now time.Time) mfshare.Standing {
+func (s *session) shares(now time.Time) mfshare.Allocation {
 	if now.Sub(s.sharesComputedAt) >= sharesInterval {
 		s.sharesComputedAt = now
 		standing := s.state.Allocations(now)
 		s.owner.accountShares.Store(&Shares{Standing: standing, Used: s.state.UsedByAccount()})
 		s.publishedShares = nil
 		if standing != nil {
-			s.publishedShares = standing.Told(s.state.NoticeableWaits())
+			s.publishedShares = standing.Published(s.state.NoticeableWaits())
 		}
 	}
 	return s.publishedShares
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -90,7 +90,7 @@
 
 // Shares is how the work of client accounts stands, for operators.
 type Shares struct {
-	Standing mfshare.Standing
+	Standing mfshare.Allocation
 	// Used is how many cores the tasks of each account have.
 	Used map[mothferry.AccountID]float64
 }
--- a/mfowner/session.go
+++ b/mfowner/session.go
@@ -60,7 +60,7 @@
 	// ownership.
 	journal *mfjournal.Journal
 	// publishedShares is what hosts were last told of accounts' shares, sharesAt when that was worked out.
-	publishedShares  mfshare.Standing
+	publishedShares  mfshare.Allocation
 	sharesComputedAt time.Time
 	progress         map[mothferry.JobID]*mfjob.Progress
 	// progressToDelete holds jobs whose progress is still to be deleted.
--- a/mfrecord/record.go
+++ b/mfrecord/record.go
@@ -126,7 +126,7 @@
 	EstimatedWaits map[mothferry.ServiceID]time.Duration
 	// Shares is how the work of client accounts stands that waits, of the longest waits;
 	// nil where room is not divided among accounts.
-	Shares mfshare.Standing
+	Shares mfshare.Allocation
 	// MaxCapacity is the most of each resource that any machine has; zero while the
 	// owner has not listed machines.
 	MaxCapacity mothferry.Resources
--- a/mfrecord/record_test.go
+++ b/mfrecord/record_test.go
@@ -60,15 +60,15 @@
 
 // Guarded against: the owner's word on accounts' shares takes more of hosts' links than they have.
 func TestStoredSharesAreCompact(t *testing.T) {
-	s := mfshare.Standing{}
+	s := mfshare.Allocation{}
 	for a := range 230 {
 		for p := range 121 {
-			s[mfshare.Flow{Service: mothferry.ServiceID(fmt.Sprintf("service-%03d", p)), Account: mothferry.AccountID(fmt.Sprintf("account-%03d", a))}] = mfshare.Entry{
-				Wait: time.Duration(1000+a*p) * time.Millisecond, Rate: 123.456, Accepted: 98.765, Mean: 45.678, Limit: a%2 == 0,
+			s[mfshare.Flow{Service: mothferry.ServiceID(fmt.Sprintf("service-%03d", p)), Account: mothferry.AccountID(fmt.Sprintf("account-%03d", a))}] = mfshare.FlowShare{
+				Wait: time.Duration(1000+a*p) * time.Millisecond, Rate: 123.456, AcceptedRate: 98.765, MeanJobWork: 45.678, AtLimit: a%2 == 0,
 			}
 		}
 	}
-	told := s.Told(nil)
+	told := s.Published(nil)
 	without, err := mfrecord.Head{Holder: "h"}.Encode()
 	assert.NilError(t, err)
 	with, err := mfrecord.Head{Holder: "h", Shares: told}.Encode()
--- a/mfrecord/share.go
+++ b/mfrecord/share.go
@@ -13,30 +13,30 @@
 // the wait, and the mean work of a job in core-milliseconds. A row of numbers takes a third of the bytes of named fields.
 type storedShares map[mothferry.ServiceID]map[mothferry.AccountID][5]int64
 
-func encodeShares(s mfshare.Standing) *storedShares {
+func encodeShares(s mfshare.Allocation) *storedShares {
 	out := storedShares{}
 	for flow, e := range s {
 		if out[flow.Service] == nil {
 			out[flow.Service] = map[mothferry.AccountID][5]int64{}
 		}
 		limit := int64(0)
-		if e.Limit {
+		if e.AtLimit {
 			limit = 1
 		}
-		out[flow.Service][flow.Account] = [5]int64{e.Wait.Milliseconds(), toMilli(e.Rate), toMilli(e.Accepted), limit, toMilli(e.Mean)}
+		out[flow.Service][flow.Account] = [5]int64{e.Wait.Milliseconds(), toMilli(e.Rate), toMilli(e.AcceptedRate), limit, toMilli(e.MeanJobWork)}
 	}
 	return &out
 }
 
 func toMilli(cores float64) int64 { return int64(math.Round(cores * 1000)) }
 
-func (s storedShares) decode() mfshare.Standing {
-	out := mfshare.Standing{}
+func (s storedShares) decode() mfshare.Allocation {
+	out := mfshare.Allocation{}
 	for service, accounts := range s {
 		for id, row := range accounts {
-			out[mfshare.Flow{Service: service, Account: id}] = mfshare.Entry{
-				Wait: time.Duration(row[0]) * time.Millisecond, Rate: float64(row[1]) / 1000, Accepted: float64(row[2]) / 1000, Limit: row[3] == 1,
-				Mean: float64(row[4]) / 1000,
+			out[mfshare.Flow{Service: service, Account: id}] = mfshare.FlowShare{
+				Wait: time.Duration(row[0]) * time.Millisecond, Rate: float64(row[1]) / 1000, AcceptedRate: float64(row[2]) / 1000, AtLimit: row[3] == 1,
+				MeanJobWork: float64(row[4]) / 1000,
 			}
 		}
 	}
--- a/mfsched/account.go
+++ b/mfsched/account.go
@@ -29,7 +29,7 @@
 	// of the round of placing under way.
 	orphaned mothferry.Resources
 	// allowance is what it may still send of what it is owed.
-	allowance mfshare.Allowance
+	allowance mfshare.TokenBucket
 }
 
 // accountOf returns an account by its id, nil for none.
--- a/mfsched/due.go
+++ b/mfsched/due.go
@@ -61,8 +61,8 @@
 		claims = append(claims, mfshare.Claim{Flow: flow, Weight: s.weightOf(flow.Account), Cores: asks.Cores})
 	}
 	for id, mix := range byAccount {
-		if o := s.entitlement(id, mfdemand.Amount{}); o.Bounded {
-			limits[id] = o.Most.UsableCores(mix)
+		if o := s.entitlement(id, mfdemand.Amount{}); o.Limited {
+			limits[id] = o.Limit.UsableCores(mix)
 		}
 	}
 	rooms := map[mothferry.ServiceID]float64{}
@@ -71,7 +71,7 @@
 		for _, w := range workers {
 			sum = sum.Add(mfdemand.AmountOf(w.Capacity))
 		}
-		rooms[service] = mfshare.Packing * sum.UsableCores(mixes[service])
+		rooms[service] = mfshare.PackingEfficiency * sum.UsableCores(mixes[service])
 	}
 	for flow, due := range mfshare.Divide(rooms, claims, limits) {
 		s.flows[flow].fairShare = due
@@ -124,7 +124,7 @@
 	if a, ok := s.accounts[id]; ok && a.Weight > 0 {
 		return a.Weight
 	}
-	return mfshare.LeastWeight
+	return mfshare.DefaultWeight
 }
 
 // addWanted adds what a candidate asks for.
--- a/mfsched/share_test.go
+++ b/mfsched/share_test.go
@@ -112,7 +112,7 @@
 	s.submitForAccount("hot", "h", 40)
 	e := s.state.Allocations(s.now)[mfshare.Flow{Service: service, Account: "hot"}]
 	assert.Equal(t, e.Rate, 1.0)
-	assert.Assert(t, e.Limit)
+	assert.Assert(t, e.AtLimit)
 }
 
 // Guarded against: operators count a job under another end than its caller saw.
--- a/mfsched/standing.go
+++ b/mfsched/standing.go
@@ -39,18 +39,18 @@
 
 // Allocations returns each account's share of each service and how long its work waits; nil
 // where room is not divided among accounts.
-func (s *State) Allocations(now time.Time) mfshare.Standing {
+func (s *State) Allocations(now time.Time) mfshare.Allocation {
 	if !s.sharesEnabled() {
 		return nil
 	}
-	return mfshare.Stand(s.allocationInputs(now))
+	return mfshare.Allocate(s.allocationInputs(now))
 }
 
 // allocationInputs gathers what accounts' shares follow from.
-func (s *State) allocationInputs(now time.Time) mfshare.Situation {
-	e := mfshare.Situation{
+func (s *State) allocationInputs(now time.Time) mfshare.AllocationInput {
+	e := mfshare.AllocationInput{
 		Listed: map[mothferry.ServiceID]mfdemand.Amount{}, Lasting: map[mothferry.ServiceID]mfdemand.Amount{},
-		Fleet: s.fleetCores, Accounts: map[mothferry.AccountID]mfshare.Owed{},
+		Fleet: s.fleetCores, Accounts: map[mothferry.AccountID]mfshare.Entitlement{},
 	}
 	lasting := map[mothferry.AccountID]mfdemand.Amount{}
 	for _, w := range s.sortedWorkers {
@@ -71,7 +71,7 @@
 			delete(s.recentWork, flow)
 			continue
 		}
-		loads[flow] = mfshare.Load{Flow: flow, Accepted: mfdemand.Amount{Cores: cores, Memory: f.memory.Rate(acceptedDecayTime, now)}}
+		loads[flow] = mfshare.Load{Flow: flow, AcceptedRate: mfdemand.Amount{Cores: cores, Memory: f.memory.Rate(acceptedDecayTime, now)}}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.live)) {
 		j := s.live[id]
@@ -94,19 +94,19 @@
 const minFlowRate = 0.01
 
 // entitlement returns what an account is owed, and may have beside its lasting tasks.
-func (s *State) entitlement(id mothferry.AccountID, lasting mfdemand.Amount) mfshare.Owed {
+func (s *State) entitlement(id mothferry.AccountID, lasting mfdemand.Amount) mfshare.Entitlement {
 	a, ok := s.accounts[id]
 	if !ok {
-		return mfshare.Owed{}
+		return mfshare.Entitlement{}
 	}
 	most := mfdemand.AmountOf(a.Limit)
-	o := mfshare.Owed{Weight: a.Weight, Bounded: most.Cores > 0 || most.Memory > 0}
+	o := mfshare.Entitlement{Weight: a.Weight, Limited: most.Cores > 0 || most.Memory > 0}
 	// Zero is no bound: what lasting tasks leave stays above it.
 	if most.Cores > 0 {
-		o.Most.Cores = max(minRemaining, most.Cores-lasting.Cores)
+		o.Limit.Cores = max(minRemaining, most.Cores-lasting.Cores)
 	}
 	if most.Memory > 0 {
-		o.Most.Memory = max(minRemaining, most.Memory-lasting.Memory)
+		o.Limit.Memory = max(minRemaining, most.Memory-lasting.Memory)
 	}
 	return o
 }
--- a/mfshare/allowance.go
+++ b/mfshare/allowance.go
@@ -7,29 +7,29 @@
 // owed what they gain. What is beyond an account's rate therefore waits behind all that is
 // owed and can be in time; it runs where there is room.
 
-// shareWindow is over how long an account may save up what it did not send. Jobs come at
+// burstWindow is over how long an account may save up what it did not send. Jobs come at
 // random, most in some seconds: over a short time an account that keeps to its rate is
 // beyond it as often as one that does not.
-const shareWindow = 3 * time.Second
+const burstWindow = 3 * time.Second
 
-// Allowance counts down what an account may still send of what it is owed.
-type Allowance struct {
-	jobs float64
-	at   time.Time
+// TokenBucket counts down what an account may still send of what it is owed.
+type TokenBucket struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
 // Take counts one job that comes now, of an account that is owed so many a second. It
 // reports whether the job is within that.
-func (a *Allowance) Take(rate float64, now time.Time) bool {
-	most := max(1, rate*shareWindow.Seconds())
-	if a.at.IsZero() {
-		a.jobs = most
+func (a *TokenBucket) Take(rate float64, now time.Time) bool {
+	most := max(1, rate*burstWindow.Seconds())
+	if a.updatedAt.IsZero() {
+		a.tokens = most
 	}
-	a.jobs = min(most, a.jobs+rate*now.Sub(a.at).Seconds())
-	a.at = now
-	if a.jobs < 1 {
+	a.tokens = min(most, a.tokens+rate*now.Sub(a.updatedAt).Seconds())
+	a.updatedAt = now
+	if a.tokens < 1 {
 		return false
 	}
-	a.jobs--
+	a.tokens--
 	return true
 }
--- a/mfshare/backlog.go
+++ b/mfshare/backlog.go
@@ -8,11 +8,11 @@
 	"mothferry"
 )
 
-// reachShare is the part of all machines' cores that a pool can have once
+// maxPoolFraction is the part of all machines' cores that a pool can have once
 // machines have moved to it. An estimate by the workers that are there at the
 // moment turns away what machines on standby or on their way would serve, after
 // a restart or as a turn begins.
-const reachShare = 0.5
+const maxPoolFraction = 0.5
 
 // Backlog is the work of a service that waits and can still be of use.
 type Backlog struct {
@@ -22,8 +22,8 @@
 	Work map[mothferry.AccountID]float64
 }
 
-// total returns the core-seconds of all accounts.
-func (b Backlog) total() float64 {
+// totalWork returns the core-seconds of all accounts.
+func (b Backlog) totalWork() float64 {
 	sum := 0.0
 	for _, work := range b.Work {
 		sum += work
@@ -37,7 +37,7 @@
 func Waits(backlogs map[mothferry.ServiceID]Backlog, fleetCores float64) map[mothferry.ServiceID]time.Duration {
 	waits := map[mothferry.ServiceID]time.Duration{}
 	for service, b := range backlogs {
-		reach, work := max(b.Cores, reachShare*fleetCores), b.total()
+		reach, work := max(b.Cores, maxPoolFraction*fleetCores), b.totalWork()
 		if reach > 0 && work > 0 {
 			waits[service] = time.Duration(work / reach * float64(time.Second))
 		}
--- a/mfshare/divide.go
+++ b/mfshare/divide.go
@@ -28,8 +28,8 @@
 	Cores float64
 }
 
-// LeastWeight is the weight of accounts that have none, and of work of no account.
-const LeastWeight = 1
+// DefaultWeight is the weight of accounts that have none, and of work of no account.
+const DefaultWeight = 1
 
 // Divide divides the cores of services by weighted max-min fairness (water-filling):
 // nobody gets more than it claims, no account more over all services than its limit, and
@@ -48,7 +48,7 @@
 		parts := map[Flow]float64{}
 		sums := map[mothferry.AccountID]float64{}
 		for _, service := range slices.Sorted(maps.Keys(byService)) {
-			fill(rooms[service], byService[service], parts)
+			waterFill(rooms[service], byService[service], parts)
 		}
 		for _, c := range claims {
 			sums[c.Account] += parts[c.Flow]
@@ -59,7 +59,7 @@
 				over, limited[id] = true, true
 				// Others' limits only leave more room to this account, so that what it
 				// may have of each service stays within its limit from here on.
-				lower(byService, id, parts, most/sum)
+				scaleClaims(byService, id, parts, most/sum)
 			}
 		}
 		if !over {
@@ -68,8 +68,8 @@
 	}
 }
 
-// lower sets an account's claims to a factor of what it got.
-func lower(byService map[mothferry.ServiceID][]Claim, id mothferry.AccountID, parts map[Flow]float64, factor float64) {
+// scaleClaims sets an account's claims to a factor of what it got.
+func scaleClaims(byService map[mothferry.ServiceID][]Claim, id mothferry.AccountID, parts map[Flow]float64, factor float64) {
 	for _, claims := range byService {
 		for i := range claims {
 			if claims[i].Account == id {
@@ -79,13 +79,13 @@
 	}
 }
 
-// fill divides the room of one service.
-func fill(room float64, claims []Claim, parts map[Flow]float64) {
+// waterFill divides the room of one service.
+func waterFill(room float64, claims []Claim, parts map[Flow]float64) {
 	order := slices.Clone(claims)
 	weights := 0.0
 	for i := range order {
 		if order[i].Weight <= 0 {
-			order[i].Weight = LeastWeight
+			order[i].Weight = DefaultWeight
 		}
 		weights += order[i].Weight
 	}
--- a/mfshare/divide_test.go
+++ b/mfshare/divide_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guarded against: more is given than there is, asked for or allowed, or room is left beside a claim.
-func TestDivisionStaysWithinRoomClaimsAndLimits(t *testing.T) {
+func TestDivideStaysWithinCapacityClaimsAndLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rooms, claims, limits := division(t)
 		parts := mfshare.Divide(rooms, claims, limits)
@@ -65,7 +65,7 @@
 }
 
 // Guarded against: an account gets less than its weight's part because another claims more.
-func TestDivisionGivesEachItsWeightsPart(t *testing.T) {
+func TestDivideGivesEachAccountItsWeightedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rooms, claims, limits := division(t)
 		parts := mfshare.Divide(rooms, claims, limits)
@@ -84,7 +84,7 @@
 }
 
 // Guarded against: what one account leaves is given to nobody, or not by weights.
-func TestDivisionOfWhatOthersLeave(t *testing.T) {
+func TestDivideRedistributesUnusedShares(t *testing.T) {
 	flow := func(id mothferry.AccountID) mfshare.Flow { return mfshare.Flow{Service: "s", Account: id} }
 	parts := mfshare.Divide(map[mothferry.ServiceID]float64{"s": 100}, []mfshare.Claim{
 		{Flow: flow("little"), Weight: 5, Cores: 10},
