--- a/mfsched/speed.go
+++ b/mfsched/speed.go
@@ -27,29 +27,29 @@
 }
 
 // speedClass returns which tasks are like a task on a worker.
-func (t *task) speedClass(w *worker) mfspeed.Kind {
+func (t *task) speedClass(w *worker) mfspeed.Class {
 	of := t.step.spec
 	return speedClassOf(t.job, t.name.Step, of.Rack != "" && of.Rack != w.Rack)
 }
 
 // runInfo returns what is known of a task's run on a worker beside its progress.
-func (t *task) runInfo(w *worker) mfspeed.Run {
-	return mfspeed.Run{Kind: t.speedClass(w), Worker: w.at.Worker, Job: t.job.id, Estimate: t.step.spec.Estimate}
+func (t *task) runInfo(w *worker) mfspeed.RunInfo {
+	return mfspeed.RunInfo{Class: t.speedClass(w), Worker: w.at.Worker, Job: t.job.id, Estimate: t.step.spec.Estimate}
 }
 
 // speedClassOf returns which tasks are like those of a job's step, near their data or remote from it.
-func speedClassOf(j *job, step int, remote bool) mfspeed.Kind {
+func speedClassOf(j *job, step int, remote bool) mfspeed.Class {
 	if image := j.submission.Steps[step].Image; image != "" {
-		return mfspeed.Kind{Image: image, Remote: remote}
+		return mfspeed.Class{Image: image, Remote: remote}
 	}
-	return mfspeed.Kind{Queue: j.submission.Queue, Step: step, Remote: remote}
+	return mfspeed.Class{Queue: j.submission.Queue, Step: step, Remote: remote}
 }
 
 // recordSpeedStart takes in that a run has just begun, by its worker's clock. One that goes on from a
 // checkpoint begins at a percentage that only a look tells.
 func (s *State) recordSpeedStart(t *task, at mothferry.WorkerClock) {
 	if at > 0 && t.checkpoint == "" && !s.Off[mothferry.FeatureStragglers] {
-		t.track.Begin(at)
+		t.track.Start(at)
 	}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	if t.track.Advance(t.percent, t.step.spec.Estimate, w.clock) {
-		s.kinds.Note(t.runInfo(w), &t.track, now)
+		s.kinds.Record(t.runInfo(w), &t.track, now)
 	}
 }
 
@@ -73,9 +73,9 @@
 		return
 	}
 	if w.lastAnswer.hasClock && !w.lastAnswer.delayed && !w.lastAnswer.pollLate && t.track.End(t.step.spec.Estimate, w.clock) {
-		s.kinds.Note(t.runInfo(w), &t.track, now)
+		s.kinds.Record(t.runInfo(w), &t.track, now)
 	}
-	w.speed.Ended(&t.track)
+	w.speed.Add(&t.track)
 }
 
 // classifySpeeds decides which workers count as slow.
@@ -86,7 +86,7 @@
 	s.lastClassified = now
 	if now.Sub(s.lastBaselineExpiry) >= baselineExpiryInterval {
 		s.lastBaselineExpiry = now
-		s.kinds.Forget(now)
+		s.kinds.Expire(now)
 	}
 	pools := map[mothferry.ServiceID]mfstraggler.Pool{}
 	for _, w := range s.sortedWorkers {
--- a/mfsched/state.go
+++ b/mfsched/state.go
@@ -212,7 +212,7 @@
 	arrivals map[mothferry.ServiceID]*mfdemand.Arrivals
 
 	// kinds holds how fast tasks of each kind advance, evidence is used anew for each worker.
-	kinds    mfspeed.Kinds
+	kinds    mfspeed.Baselines
 	evidence mfspeed.Evidence
 	// lastClassified is when workers' speeds were judged, lastForgot when old runs were forgotten, anySlow
 	// says that a worker counts as slow.
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -176,7 +176,7 @@
 // expectedTimes returns how long a task on a slow worker still takes there, and until it would
 // end on a usual one: from its checkpoint, or from its beginning if it has none.
 func (t *task) expectedTimes(w *worker, by mitigation, l Limits) (here, there time.Duration) {
-	whole := float64(t.track.Whole(t.step.spec.Estimate))
+	whole := float64(t.track.TotalDuration(t.step.spec.Estimate))
 	left := whole * (1 - float64(t.percent)/fullPace)
 	if by == mitigationCopy {
 		// The worker goes on, so that its newest checkpoint is of now at the best.
@@ -282,7 +282,7 @@
 	usual.Steps = slices.Clone(usual.Steps)
 	for i := range usual.Steps {
 		of := &usual.Steps[i]
-		if takes, known := s.kinds.Usual(speedClassOf(j, i, false), of.Estimate); known {
+		if takes, known := s.kinds.Expected(speedClassOf(j, i, false), of.Estimate); known {
 			of.Estimate = takes
 		}
 	}
@@ -296,7 +296,7 @@
 	if s.Off[mothferry.FeatureStragglers] || !t.measuresSpeed() || t.stuckStops > 0 || t.checkpoint != "" {
 		return allowed
 	}
-	usual, known := s.kinds.Usual(t.speedClass(t.worker), t.step.spec.Estimate)
+	usual, known := s.kinds.Expected(t.speedClass(t.worker), t.step.spec.Estimate)
 	if !known {
 		return allowed
 	}
--- a/mfsched/worker.go
+++ b/mfsched/worker.go
@@ -64,7 +64,7 @@
 	calmSince   time.Time
 	// speed and standing are what is known of how fast it is, hangs how many of its tasks
 	// hung lately, hung when tasks of which jobs did.
-	speed      mfspeed.Worker
+	speed      mfspeed.EndedRuns
 	slowStatus mfstraggler.Standing
 	hangs      mfdecay.Sum
 	hungJobs   map[mothferry.JobID]time.Time
--- a/mfspeed/kind.go
+++ b/mfspeed/kind.go
@@ -8,8 +8,8 @@
 	"mothferry"
 )
 
-// Kind says which tasks are alike: their estimates are wrong by the same factor.
-type Kind struct {
+// Class says which tasks are alike: their estimates are wrong by the same factor.
+type Class struct {
 	// Image is what they run; Queue and Step stand for it where it is not told.
 	Image string
 	Queue mothferry.QueueID
@@ -19,128 +19,128 @@
 }
 
 const (
-	// remembered is how many runs of a kind are remembered of each worker, the latest ones: were
+	// maxRunsPerWorker is how many runs of a kind are remembered of each worker, the latest ones: were
 	// they the latest of all workers, those of slow ones, which come last where many start at
 	// once, would be all of them.
-	remembered = 4
-	// rememberedFor is for how long a run is remembered, and so a kind that is not seen again.
-	rememberedFor = 10 * time.Minute
-	// freshPart is the part of a kind's runs that must have changed before what is usual is told
+	maxRunsPerWorker = 4
+	// maxRunAge is for how long a run is remembered, and so a kind that is not seen again.
+	maxRunAge = 10 * time.Minute
+	// updateDivisor is the part of a kind's runs that must have changed before what is usual is told
 	// anew.
-	freshPart = 16
-	// leastRuns of leastWorkers workers tell what is usual for a kind.
-	leastRuns    = 8
-	leastWorkers = 3
-	// leastSpread bounds the spread of a kind below: readings are rounded and late.
-	leastSpread = 0.15
-	// leastChange is by how much the logarithm of a run's rate must change for its worker to
+	updateDivisor = 16
+	// minRuns of leastWorkers workers tell what is usual for a kind.
+	minRuns    = 8
+	minWorkers = 3
+	// minSpread bounds the spread of a kind below: readings are rounded and late.
+	minSpread = 0.15
+	// minLogChange is by how much the logarithm of a run's rate must change for its worker to
 	// have changed: beyond what whole percentages make of it.
-	leastChange = 0.7
-	// normalMAD turns a median absolute deviation into a standard deviation.
-	normalMAD = 1.4826
+	minLogChange = 0.7
+	// madToStdDev turns a median absolute deviation into a standard deviation.
+	madToStdDev = 1.4826
 )
 
-// Kinds holds what is usual for each kind. The zero value knows nothing.
-type Kinds struct {
-	kinds map[Kind]*kind
+// Baselines holds what is usual for each kind. The zero value knows nothing.
+type Baselines struct {
+	byClass map[Class]*baseline
 }
 
-type kind struct {
+type baseline struct {
 	// runs holds the latest runs of each worker, the oldest first; count is how many those are,
 	// fresh how many came since the last sum.
-	runs         map[mothferry.WorkerID][]run
-	count, fresh int
-	// usual is the median rate, spread the robust standard deviation; known says that there
+	runs               map[mothferry.WorkerID][]recordedRun
+	count, sinceUpdate int
+	// median is the median rate, spread the robust standard deviation; known says that there
 	// are runs enough.
-	usual, spread float64
-	known         bool
-	// jobs holds the median rate of each job that has runs enough by itself.
-	jobs map[mothferry.JobID]float64
+	median, spread float64
+	known          bool
+	// jobMedians holds the median rate of each job that has runs enough by itself.
+	jobMedians map[mothferry.JobID]float64
 }
 
-type run struct {
+type recordedRun struct {
 	rate float64
 	at   time.Time
 	job  mothferry.JobID
 }
 
-// Run is what is known of a run beside its progress.
-type Run struct {
-	Kind     Kind
+// RunInfo is what is known of a run beside its progress.
+type RunInfo struct {
+	Class    Class
 	Worker   mothferry.WorkerID
 	Job      mothferry.JobID
 	Estimate time.Duration
 }
 
-// Note takes in that a track has a new rate: for what is usual for its kind, once, and for what
+// Record takes in that a track has a new rate: for what is usual for its kind, once, and for what
 // it tells of its worker.
 //
 // Tasks that take several times as long as others are rare among those that start, and frequent
 // among those that run, the more so when little starts. So a run tells of its worker's speed for
 // as long only as a usual one takes; later, only that it has become slower or faster.
-func (k *Kinds) Note(r Run, t *Track, now time.Time) {
-	k.count(r, t, now)
-	deviation, spread, known := k.Deviation(r.Kind, t.rate)
+func (k *Baselines) Record(r RunInfo, t *Track, now time.Time) {
+	k.recordRun(r, t, now)
+	deviation, spread, known := k.Deviation(r.Class, t.rate)
 	if !known {
 		return
 	}
-	if !t.based {
-		t.first, t.based = deviation, true
+	if !t.hasFirst {
+		t.firstDeviation, t.hasFirst = deviation, true
 	}
-	usual, _ := k.Usual(r.Kind, r.Estimate)
+	usual, _ := k.Expected(r.Class, r.Estimate)
 	told := observation{spread: spread, job: r.Job, at: now}
-	switch change := deviation - t.first; {
+	switch change := deviation - t.firstDeviation; {
 	case t.elapsed(r.Estimate) <= usual:
 		told.deviation = deviation
-		own, several := k.kinds[r.Kind].jobs[r.Job]
-		told.alone = several && float64(t.rate)-own < -leastChange
-	case change < -leastChange:
-		told.deviation, told.alone = change, true
-	case change <= leastChange:
+		own, several := k.byClass[r.Class].jobMedians[r.Job]
+		told.conclusive = several && float64(t.rate)-own < -minLogChange
+	case change < -minLogChange:
+		told.deviation, told.conclusive = change, true
+	case change <= minLogChange:
 		return
 	}
 	t.observed = told
 }
 
-func (k *Kinds) count(r Run, t *Track, now time.Time) {
+func (k *Baselines) recordRun(r RunInfo, t *Track, now time.Time) {
 	if t.counted || !t.known {
 		return
 	}
 	t.counted = true
-	if k.kinds == nil {
-		k.kinds = map[Kind]*kind{}
+	if k.byClass == nil {
+		k.byClass = map[Class]*baseline{}
 	}
-	v := k.kinds[r.Kind]
+	v := k.byClass[r.Class]
 	if v == nil {
-		v = &kind{runs: map[mothferry.WorkerID][]run{}}
-		k.kinds[r.Kind] = v
+		v = &baseline{runs: map[mothferry.WorkerID][]recordedRun{}}
+		k.byClass[r.Class] = v
 	}
 	runs := v.runs[r.Worker]
-	if len(runs) == remembered {
+	if len(runs) == maxRunsPerWorker {
 		runs = slices.Delete(runs, 0, 1)
 		v.count--
 	}
-	v.runs[r.Worker] = append(runs, run{rate: float64(t.rate), at: now, job: r.Job})
+	v.runs[r.Worker] = append(runs, recordedRun{rate: float64(t.rate), at: now, job: r.Job})
 	v.count++
-	v.fresh++
+	v.sinceUpdate++
 }
 
-// Forget forgets the runs that were noted long before a time, and the kinds of which no other is
+// Expire forgets the runs that were noted long before a time, and the kinds of which no other is
 // known.
-func (k *Kinds) Forget(now time.Time) {
-	for of, v := range k.kinds {
-		v.forget(now.Add(-rememberedFor))
+func (k *Baselines) Expire(now time.Time) {
+	for of, v := range k.byClass {
+		v.expire(now.Add(-maxRunAge))
 		if v.count == 0 {
-			delete(k.kinds, of)
+			delete(k.byClass, of)
 		}
 	}
 }
 
-func (v *kind) forget(before time.Time) {
+func (v *baseline) expire(before time.Time) {
 	for worker, runs := range v.runs {
-		left := slices.DeleteFunc(runs, func(r run) bool { return r.at.Before(before) })
+		left := slices.DeleteFunc(runs, func(r recordedRun) bool { return r.at.Before(before) })
 		v.count -= len(runs) - len(left)
-		v.fresh += len(runs) - len(left)
+		v.sinceUpdate += len(runs) - len(left)
 		if v.runs[worker] = left; len(left) == 0 {
 			delete(v.runs, worker)
 		}
@@ -149,21 +149,21 @@
 
 // Deviation returns a rate's difference from what is usual for its kind, with the spread of
 // such differences among runs of the kind. It reports whether the kind is known.
-func (k *Kinds) Deviation(of Kind, rate Rate) (deviation, spread float64, known bool) {
-	v := k.kinds[of]
+func (k *Baselines) Deviation(of Class, rate LogRate) (deviation, spread float64, known bool) {
+	v := k.byClass[of]
 	if v == nil {
 		return 0, 0, false
 	}
-	v.sum()
-	return float64(rate) - v.usual, v.spread, v.known
+	v.update()
+	return float64(rate) - v.median, v.spread, v.known
 }
 
-func (v *kind) sum() {
-	if v.fresh*freshPart <= v.count && (v.known || v.fresh == 0) {
+func (v *baseline) update() {
+	if v.sinceUpdate*updateDivisor <= v.count && (v.known || v.sinceUpdate == 0) {
 		return
 	}
-	v.fresh = 0
-	if v.known = v.count >= leastRuns && len(v.runs) >= leastWorkers; !v.known {
+	v.sinceUpdate = 0
+	if v.known = v.count >= minRuns && len(v.runs) >= minWorkers; !v.known {
 		return
 	}
 	rates := make([]float64, 0, v.count)
@@ -172,28 +172,28 @@
 			rates = append(rates, r.rate)
 		}
 	}
-	v.usual = median(rates)
+	v.median = median(rates)
 	for i := range rates {
-		rates[i] = math.Abs(rates[i] - v.usual)
+		rates[i] = math.Abs(rates[i] - v.median)
 	}
-	v.spread = max(leastSpread, normalMAD*median(rates))
-	v.sumJobs()
+	v.spread = max(minSpread, madToStdDev*median(rates))
+	v.updateJobs()
 }
 
-func (v *kind) sumJobs() {
+func (v *baseline) updateJobs() {
 	rates, workers := map[mothferry.JobID][]float64{}, map[mothferry.JobID]int{}
 	for _, runs := range v.runs {
 		for i, r := range runs {
 			rates[r.job] = append(rates[r.job], r.rate)
-			if !slices.ContainsFunc(runs[:i], func(o run) bool { return o.job == r.job }) {
+			if !slices.ContainsFunc(runs[:i], func(o recordedRun) bool { return o.job == r.job }) {
 				workers[r.job]++
 			}
 		}
 	}
-	v.jobs = map[mothferry.JobID]float64{}
+	v.jobMedians = map[mothferry.JobID]float64{}
 	for job, list := range rates {
-		if len(list) >= leastRuns && workers[job] >= leastWorkers {
-			v.jobs[job] = median(list)
+		if len(list) >= minRuns && workers[job] >= minWorkers {
+			v.jobMedians[job] = median(list)
 		}
 	}
 }
@@ -204,13 +204,13 @@
 	return values[len(values)/2]
 }
 
-// Usual returns how long a task of a kind usually takes by its estimate. It reports whether
+// Expected returns how long a task of a kind usually takes by its estimate. It reports whether
 // the kind is known.
-func (k *Kinds) Usual(of Kind, estimate time.Duration) (time.Duration, bool) {
-	v := k.kinds[of]
+func (k *Baselines) Expected(of Class, estimate time.Duration) (time.Duration, bool) {
+	v := k.byClass[of]
 	if v == nil {
 		return 0, false
 	}
-	v.sum()
-	return time.Duration(float64(estimate) * math.Exp(-v.usual)), v.known
+	v.update()
+	return time.Duration(float64(estimate) * math.Exp(-v.median)), v.known
 }
--- a/mfspeed/worker.go
+++ b/mfspeed/worker.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// endsRemembered bounds the ended runs that count for a worker's speed.
-	endsRemembered = 16
-	// runningFor is how long a rate tells of a worker whose run goes on: a few looks. endedFor is
+	// maxEndedRuns bounds the ended runs that count for a worker's speed.
+	maxEndedRuns = 16
+	// runningMaxAge is how long a rate tells of a worker whose run goes on: a few looks. endedFor is
 	// the same once it has ended: where runs end, there is news often.
-	runningFor = time.Second
-	endedFor   = 300 * time.Millisecond
-	// sure is how many standard errors Most adds: a usual worker that counts as slow is of less
+	runningMaxAge = time.Second
+	endedMaxAge   = 300 * time.Millisecond
+	// upperStdErrors is how many standard errors Most adds: a usual worker that counts as slow is of less
 	// use to its pool for seconds.
-	sure = 2
-	// fastPart is the part of a job's runs that Fast leaves out at the top, fastJobs that of jobs:
+	upperStdErrors = 2
+	// fastRunDivisor is the part of a job's runs that Fast leaves out at the top, fastJobs that of jobs:
 	// of those there are fewer.
-	fastPart, fastJobs = 5, 3
+	fastRunDivisor, fastJobDivisor = 5, 3
 )
 
 // observation is what a run told of its worker's speed at a time.
@@ -30,27 +30,27 @@
 	at                time.Time
 	// job is that of the run; alone says that it tells without another job's: the run is slower
 	// than others of its job, or than it was.
-	job   mothferry.JobID
-	alone bool
+	job        mothferry.JobID
+	conclusive bool
 }
 
-// Worker is what the runs that ended on a worker told of its speed.
-type Worker struct {
+// EndedRuns is what the runs that ended on a worker told of its speed.
+type EndedRuns struct {
 	observations []observation
 	next         int
 }
 
-// Ended takes in a run that has ended.
-func (w *Worker) Ended(t *Track) {
+// Add takes in a run that has ended.
+func (w *EndedRuns) Add(t *Track) {
 	if t.observed.at.IsZero() {
 		return
 	}
-	if len(w.observations) < endsRemembered {
+	if len(w.observations) < maxEndedRuns {
 		w.observations = append(w.observations, t.observed)
 		return
 	}
 	w.observations[w.next] = t.observed
-	w.next = (w.next + 1) % endsRemembered
+	w.next = (w.next + 1) % maxEndedRuns
 }
 
 // Evidence gathers what runs tell of a worker's speed at a moment. It may be used again
@@ -61,12 +61,12 @@
 func (e *Evidence) Reset() { e.observations = e.observations[:0] }
 
 // Add adds what a run that goes on has told lately.
-func (e *Evidence) Add(t *Track, now time.Time) { e.add(t.observed, runningFor, now) }
+func (e *Evidence) Add(t *Track, now time.Time) { e.add(t.observed, runningMaxAge, now) }
 
 // AddEnded adds what the runs that ended on a worker had told lately.
-func (e *Evidence) AddEnded(w *Worker, now time.Time) {
+func (e *Evidence) AddEnded(w *EndedRuns, now time.Time) {
 	for _, v := range w.observations {
-		e.add(v, endedFor, now)
+		e.add(v, endedMaxAge, now)
 	}
 }
 
@@ -82,8 +82,8 @@
 	Runs int
 	// Jobs counts the jobs whose runs those are. Alone says that one of them tells it without
 	// another.
-	Jobs  int
-	Alone bool
+	Jobs       int
+	Conclusive bool
 	// Relative is the median, Fast that of the jobs that are nearly the fastest, each by those of
 	// its runs that are. A usual worker with some tasks that take long, or a job whose tasks all
 	// do, has a low median, and a usual Fast.
@@ -113,19 +113,19 @@
 		if end < 0 {
 			end = len(rest)
 		}
-		v := rest[end-1-end/fastPart]
+		v := rest[end-1-end/fastRunDivisor]
 		fast = append(fast, v.deviation)
-		s.Alone = s.Alone || v.alone
+		s.Conclusive = s.Conclusive || v.conclusive
 		rest = rest[end:]
 	}
 	slices.Sort(fast)
 	s.Jobs = len(fast)
-	s.Fast = math.Exp(fast[s.Jobs-1-s.Jobs/fastJobs])
+	s.Fast = math.Exp(fast[s.Jobs-1-s.Jobs/fastJobDivisor])
 	return s
 }
 
-// Most returns the highest speed that Fast stands for, with its uncertainty.
-func (s Speed) Most() float64 { return s.Fast * math.Exp(sure*s.Uncertainty) }
+// UpperBound returns the highest speed that Fast stands for, with its uncertainty.
+func (s Speed) UpperBound() float64 { return s.Fast * math.Exp(upperStdErrors*s.Uncertainty) }
 
-// Least returns the lowest speed that Fast stands for, with its uncertainty.
-func (s Speed) Least() float64 { return s.Fast * math.Exp(-s.Uncertainty) }
+// LowerBound returns the lowest speed that Fast stands for, with its uncertainty.
+func (s Speed) LowerBound() float64 { return s.Fast * math.Exp(-s.Uncertainty) }
--- a/mfstraggler/slow.go
+++ b/mfstraggler/slow.go
@@ -77,9 +77,9 @@
 		next.toldAt = now
 	}
 	switch {
-	case v.Runs >= leastEvidence && v.Most() < slowBelow && (s.Slow || v.Alone || v.Jobs >= leastJobs):
+	case v.Runs >= leastEvidence && v.UpperBound() < slowBelow && (s.Slow || v.Conclusive || v.Jobs >= leastJobs):
 		next.Slow, next.Speed, next.slowAt = true, v, now
-	case v.Runs > 0 && v.Fast > usualAbove && v.Least() > slowBelow:
+	case v.Runs > 0 && v.Fast > usualAbove && v.LowerBound() > slowBelow:
 		next.Slow, next.Speed, next.tries = false, v, 0
 	case !s.Slow:
 		next.Speed = v
--- a/mfstraggler/straggler_test.go
+++ b/mfstraggler/straggler_test.go
@@ -29,7 +29,7 @@
 		{"one run tells too little", speed(1, 0.2, 0.2, 0.2), false},
 		{"too uncertain", speed(2, 0.4, 0.45, 0.4), false},
 		{"one job tells too little", mfspeed.Speed{Runs: 4, Jobs: 1, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, false},
-		{"one job that is usual elsewhere", mfspeed.Speed{Runs: 4, Jobs: 1, Alone: true, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, true},
+		{"one job that is usual elsewhere", mfspeed.Speed{Runs: 4, Jobs: 1, Conclusive: true, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, true},
 		{"nothing known", mfspeed.Speed{}, false},
 	} {
 		assert.Equal(t, mfstraggler.Standing{}.Next(c.speed, false, start).Slow, c.slow, c.name)
