--- a/mfsched/life.go
+++ b/mfsched/life.go
@@ -105,7 +105,7 @@
 	w.lastEndSeen, w.lastEndStored = 0, 0
 	w.orphans, w.trial, w.expiredRuns = map[runID]orphanStop{}, nil, nil
 	w.pausedUntil, w.health, w.calmSince = time.Time{}, health{}, time.Time{}
-	w.speed, w.slowStatus, w.hangs = mfspeed.EndedRuns{}, mfstraggler.Standing{}, mfdecay.Sum{}
+	w.speed, w.slowStatus, w.hangs = mfspeed.EndedRuns{}, mfstraggler.Status{}, mfdecay.Sum{}
 	w.hungJobs = nil
 	w.lastAnswer = pollAnswer{}
 	for _, t := range w.tasks {
--- a/mfsched/load.go
+++ b/mfsched/load.go
@@ -45,7 +45,7 @@
 			l.Used = float64(w.used.Cores) / float64(w.Capacity.Cores)
 		}
 		if w.slowStatus.Speed.Runs > 0 {
-			l.Speed = w.slowStatus.Relative()
+			l.Speed = w.slowStatus.RelativeSpeed()
 		}
 		loads[id] = l
 	}
--- a/mfsched/place.go
+++ b/mfsched/place.go
@@ -84,7 +84,7 @@
 			// It waits for a worker of its own; the others of its step need not.
 			continue
 		}
-		if w == nil || relief != nil && w.slowStatus.Uneven() && s.canRunOnNormalWorker(t, workers) && relief.shouldWait(t, w, now) {
+		if w == nil || relief != nil && w.slowStatus.Degraded() && s.canRunOnNormalWorker(t, workers) && relief.shouldWait(t, w, now) {
 			break
 		}
 		s.plan(t, w, t.highestRun()+1)
@@ -105,7 +105,7 @@
 func (s *State) canRunOnNormalWorker(t *task, workers []*worker) bool {
 	of := t.step.spec
 	return slices.ContainsFunc(workers, func(w *worker) bool {
-		return !w.slowStatus.Uneven() && feasible(t, w, mothferry.Resources{}) && s.stepTasksOn(t.step, w) < perWorkerLimit(of.PerWorker)
+		return !w.slowStatus.Degraded() && feasible(t, w, mothferry.Resources{}) && s.stepTasksOn(t.step, w) < perWorkerLimit(of.PerWorker)
 	})
 }
 
@@ -286,8 +286,8 @@
 			score += weightMaintenanceDue
 		}
 	}
-	if w.slowStatus.Uneven() && !of.Lasting && !of.Gang {
-		score += max(weightSlowFloor, weightSlow*(1/w.slowStatus.Relative()-1))
+	if w.slowStatus.Degraded() && !of.Lasting && !of.Gang {
+		score += max(weightSlowFloor, weightSlow*(1/w.slowStatus.RelativeSpeed()-1))
 	}
 	if of.Fills || of.TailTarget > 0 {
 		score += weightInterference * float64(interferingTasks(t, w))
--- a/mfsched/speed.go
+++ b/mfsched/speed.go
@@ -99,31 +99,31 @@
 	}
 	known := map[mothferry.ServiceID]int{}
 	candidates := map[mothferry.ServiceID][]mfstraggler.Candidate{}
-	next := map[mothferry.WorkerID]mfstraggler.Standing{}
+	next := map[mothferry.WorkerID]mfstraggler.Status{}
 	for _, w := range s.sortedWorkers {
 		if !w.listed {
 			continue
 		}
-		hangs := pools[w.Service].Blames(w.hangs.Value(hangDecayTime, now), w.jobsWithHungTasks(now))
+		hangs := pools[w.Service].WorkerAtFault(w.hangs.Value(hangDecayTime, now), w.jobsWithHungTasks(now))
 		v := w.slowStatus.Next(s.speedOf(w, now), hangs, now)
 		if v.Known(now) {
 			known[w.Service]++
 		}
 		next[w.at.Worker] = v
-		if v.Uneven() {
-			candidates[w.Service] = append(candidates[w.Service], mfstraggler.Candidate{Worker: w.at.Worker, Speed: v.Relative()})
+		if v.Degraded() {
+			candidates[w.Service] = append(candidates[w.Service], mfstraggler.Candidate{Worker: w.at.Worker, Speed: v.RelativeSpeed()})
 		}
 	}
 	slow := map[mothferry.WorkerID]bool{}
 	for service, list := range candidates {
-		for _, c := range mfstraggler.Bound(list, known[service]) {
+		for _, c := range mfstraggler.LimitSlow(list, known[service]) {
 			slow[c.Worker] = true
 		}
 	}
 	s.anySlow = len(slow) > 0
 	for _, w := range s.sortedWorkers {
 		v, judged := next[w.at.Worker]
-		if judged && v.Uneven() && !slow[w.at.Worker] {
+		if judged && v.Degraded() && !slow[w.at.Worker] {
 			v = v.Cleared()
 		}
 		if judged {
@@ -151,16 +151,16 @@
 }
 
 // setSlowState gives a worker a standing and logs it when the worker becomes slow or no longer is.
-func (s *State) setSlowState(w *worker, v mfstraggler.Standing) {
-	was := w.slowStatus.Uneven()
+func (s *State) setSlowState(w *worker, v mfstraggler.Status) {
+	was := w.slowStatus.Degraded()
 	w.slowStatus = v
-	if was == v.Uneven() {
+	if was == v.Degraded() {
 		return
 	}
 	d := Decision{Message: MessageNoLongerSlow, Worker: w.at.Worker, Fields: map[string]any{
 		"service": w.Service, "speed": round(v.Speed.Relative), "uncertainty": round(v.Speed.Uncertainty), "runs": v.Speed.Runs, "hanging": v.Hanging,
 	}}
-	if v.Uneven() {
+	if v.Degraded() {
 		d.Message = MessageSlow
 	}
 	s.emit(d)
@@ -181,7 +181,7 @@
 	}
 	r, slow := &turnover{}, false
 	for _, w := range workers {
-		if w.slowStatus.Uneven() {
+		if w.slowStatus.Degraded() {
 			slow = true
 			continue
 		}
@@ -200,7 +200,7 @@
 // shouldWait reports whether a task should wait for room on a usual worker rather than start on
 // the one that was chosen for it.
 func (r *turnover) shouldWait(t *task, w *worker, now time.Time) bool {
-	if r == nil || !w.slowStatus.Uneven() || !t.measuresSpeed() || r.freedPerSecond <= 0 {
+	if r == nil || !w.slowStatus.Degraded() || !t.measuresSpeed() || r.freedPerSecond <= 0 {
 		return false
 	}
 	cores := int64(t.step.spec.Room().Cores)
@@ -209,7 +209,7 @@
 	if p.heldSince.IsZero() {
 		p.heldSince = now
 	}
-	if !mfstraggler.WaitOnSlow(p.spec.Estimate, now.Sub(p.heldSince)+wait, w.slowStatus.Relative()) {
+	if !mfstraggler.WaitForNormal(p.spec.Estimate, now.Sub(p.heldSince)+wait, w.slowStatus.RelativeSpeed()) {
 		return false
 	}
 	r.waiting += cores * int64(max(1, p.waiting))
@@ -228,8 +228,8 @@
 func (s *State) SlowWorkers() []SlowWorker {
 	var out []SlowWorker
 	for _, w := range s.sortedWorkers {
-		if w.slowStatus.Uneven() {
-			out = append(out, SlowWorker{Service: w.Service, Worker: w.at.Worker, Speed: w.slowStatus.Relative()})
+		if w.slowStatus.Degraded() {
+			out = append(out, SlowWorker{Service: w.Service, Worker: w.at.Worker, Speed: w.slowStatus.RelativeSpeed()})
 		}
 	}
 	return out
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -92,7 +92,7 @@
 func (s *State) relocationCapacityOf(service mothferry.ServiceID, now time.Time) *relocationCapacity {
 	r := &relocationCapacity{index: map[*worker]int{}, unplaceable: map[string][]mothferry.Resources{}, corrected: map[*job]mfjob.Submission{}}
 	for _, w := range s.sortedWorkers {
-		if w.Service != service || w.slowStatus.Uneven() || w.onTrial() || !s.isSchedulable(w, now) {
+		if w.Service != service || w.slowStatus.Degraded() || w.onTrial() || !s.isSchedulable(w, now) {
 			continue
 		}
 		free := w.Capacity.Sub(w.reserved())
@@ -164,9 +164,9 @@
 // where its account has no room for two runs.
 func (t *task) mitigation() mitigation {
 	switch {
-	case t.step.spec.Speculative && t.copies < mfstraggler.Copies && t.job.account.admits(t.step.spec.Need):
+	case t.step.spec.Speculative && t.copies < mfstraggler.MaxCopies && t.job.account.admits(t.step.spec.Need):
 		return mitigationCopy
-	case t.restarts < mfstraggler.Restarts && !t.job.account.overLimit():
+	case t.restarts < mfstraggler.MaxRestarts && !t.job.account.overLimit():
 		return mitigationRestart
 	default:
 		return mitigationNone
@@ -180,13 +180,13 @@
 	left := whole * (1 - float64(t.percent)/fullPace)
 	if by == mitigationCopy {
 		// The worker goes on, so that its newest checkpoint is of now at the best.
-		return time.Duration(left), startLatency + time.Duration(whole*w.slowStatus.Relative())
+		return time.Duration(left), startLatency + time.Duration(whole*w.slowStatus.RelativeSpeed())
 	}
 	there = l.StopTimeout/2 + startLatency
 	if t.step.spec.Checkpoint {
-		return time.Duration(left), there + restoreLatency + time.Duration(left*w.slowStatus.Relative())
+		return time.Duration(left), there + restoreLatency + time.Duration(left*w.slowStatus.RelativeSpeed())
 	}
-	return time.Duration(left), there + time.Duration(whole*w.slowStatus.Relative())
+	return time.Duration(left), there + time.Duration(whole*w.slowStatus.RelativeSpeed())
 }
 
 // relocate has a task that is behind begin on a usual worker if its job gains by that. It reports
@@ -196,10 +196,10 @@
 	if by == mitigationNone {
 		return false
 	}
-	c := mfstraggler.Behind{}
-	c.Here, c.There = t.expectedTimes(w, by, s.Limits)
-	c.Left, c.LateLeft = s.timeLeft(t, r, now)
-	if !c.Restart() {
+	c := mfstraggler.Straggler{}
+	c.Remaining, c.Elsewhere = t.expectedTimes(w, by, s.Limits)
+	c.UntilLate, c.UntilTooLate = s.timeLeft(t, r, now)
+	if !c.ShouldRestart() {
 		return false
 	}
 	o := s.relocationTarget(t, by, r, now)
@@ -213,7 +213,7 @@
 	s.emit(Decision{Message: message, Job: t.job.id, Worker: w.at.Worker, Fields: map[string]any{
 		"service": w.Service, "step": t.name.Step, "index": t.name.Index, "run": t.run, "percent": t.percent, "other": o.at.Worker,
 		"speed": round(w.slowStatus.Speed.Relative), "uncertainty": round(w.slowStatus.Speed.Uncertainty),
-		"here_ms": c.Here.Milliseconds(), "there_ms": c.There.Milliseconds(), "left_ms": c.Left.Milliseconds(),
+		"here_ms": c.Remaining.Milliseconds(), "there_ms": c.Elsewhere.Milliseconds(), "left_ms": c.UntilLate.Milliseconds(),
 	}})
 	r.free[r.index[o]] = r.free[r.index[o]].Sub(t.step.spec.Room())
 	if by == mitigationCopy {
@@ -300,5 +300,5 @@
 	if !known {
 		return allowed
 	}
-	return min(allowed, mfstraggler.Hangs(max(usual, t.step.spec.Estimate), t.worker.slowStatus.Relative()))
+	return min(allowed, mfstraggler.HangTimeout(max(usual, t.step.spec.Estimate), t.worker.slowStatus.RelativeSpeed()))
 }
--- a/mfsched/worker.go
+++ b/mfsched/worker.go
@@ -65,7 +65,7 @@
 	// speed and standing are what is known of how fast it is, hangs how many of its tasks
 	// hung lately, hung when tasks of which jobs did.
 	speed      mfspeed.EndedRuns
-	slowStatus mfstraggler.Standing
+	slowStatus mfstraggler.Status
 	hangs      mfdecay.Sum
 	hungJobs   map[mothferry.JobID]time.Time
 }
--- a/mfstraggler/restart.go
+++ b/mfstraggler/restart.go
@@ -3,63 +3,63 @@
 import "time"
 
 const (
-	// Restarts is how often a task may start again elsewhere for being behind.
-	Restarts = 2
-	// Copies is how often a task of a speculative step may have a copy.
-	Copies = 1
-	// leastGain is how much longer a task must take where it is than elsewhere: what was
+	// MaxRestarts is how often a task may start again elsewhere for being behind.
+	MaxRestarts = 2
+	// MaxCopies is how often a task of a speculative step may have a copy.
+	MaxCopies = 1
+	// minGain is how much longer a task must take where it is than elsewhere: what was
 	// done is lost, and both are estimates.
-	leastGain = 1.4
-	// margin is the part of an expected time that it may be wrong by.
-	margin = 0.2
+	minGain = 1.4
+	// estimateError is the part of an expected time that it may be wrong by.
+	estimateError = 0.2
 )
 
-// Behind is a task that runs on a slow worker.
-type Behind struct {
-	// Here is how long it still takes where it is, There until it would end elsewhere, with
+// Straggler is a task that runs on a slow worker.
+type Straggler struct {
+	// Remaining is how long it still takes where it is, There until it would end elsewhere, with
 	// all that stopping and starting take.
-	Here, There time.Duration
-	// Left is how long its job has until it is late, after what follows the task;
+	Remaining, Elsewhere time.Duration
+	// UntilLate is how long its job has until it is late, after what follows the task;
 	// LateLeft until it is of no use.
-	Left, LateLeft time.Duration
+	UntilLate, UntilTooLate time.Duration
 }
 
-// Restart reports whether the task should start again elsewhere: it ends clearly sooner there,
+// ShouldRestart reports whether the task should start again elsewhere: it ends clearly sooner there,
 // and its caller gains by it. One that ends in time where it is stays, as what it has done
 // would be lost for nothing; so does one that comes too late either way.
 //
 // The load it answers: jobs of a dozen tasks each, one or two of which sit on slow machines
 // and hold the job up.
-func (b Behind) Restart() bool {
-	if float64(b.Here) < leastGain*float64(b.There) {
+func (b Straggler) ShouldRestart() bool {
+	if float64(b.Remaining) < minGain*float64(b.Elsewhere) {
 		return false
 	}
-	here, there := float64(b.Here)*(1+margin), float64(b.There)*(1-margin)
+	here, there := float64(b.Remaining)*(1+estimateError), float64(b.Elsewhere)*(1-estimateError)
 	switch {
-	case here <= float64(b.Left):
+	case here <= float64(b.UntilLate):
 		return false
-	case there <= float64(b.Left):
+	case there <= float64(b.UntilLate):
 		return true
 	default:
-		return here > float64(b.LateLeft) && there <= float64(b.LateLeft)
+		return here > float64(b.UntilTooLate) && there <= float64(b.UntilTooLate)
 	}
 }
 
-// WaitOnSlow reports whether a task should wait for room on a usual worker rather than start
+// WaitForNormal reports whether a task should wait for room on a usual worker rather than start
 // on one of some speed now. Wait is how long that room is expected to take.
 //
 // The load it answers: the usual machines of a pool are full for the moment, and its slow ones
 // have room because they are slow.
-func WaitOnSlow(estimate, wait time.Duration, speed float64) bool {
-	if speed >= 1 || wait > longestWait {
+func WaitForNormal(estimate, wait time.Duration, speed float64) bool {
+	if speed >= 1 || wait > maxWait {
 		return false
 	}
-	return float64(wait) < float64(estimate)*(1/max(speed, leastSpeed)-1)
+	return float64(wait) < float64(estimate)*(1/max(speed, minSpeed)-1)
 }
 
 const (
-	// longestWait bounds the wait for a usual worker beside idle slow ones.
-	longestWait = time.Second
-	// leastSpeed bounds what is made of a speed.
-	leastSpeed = 0.05
+	// maxWait bounds the wait for a usual worker beside idle slow ones.
+	maxWait = time.Second
+	// minSpeed bounds what is made of a speed.
+	minSpeed = 0.05
 )
--- a/mfstraggler/slow.go
+++ b/mfstraggler/slow.go
@@ -13,49 +13,49 @@
 	// slowBelow is the speed below which a worker is slow, usualAbove that above which it no
 	// longer is. A job's objective leaves it about half its time again: at half the speed
 	// tasks are late, at three quarters few are.
-	slowBelow  = 0.55
-	usualAbove = 0.75
-	// leastEvidence is how many runs must tell that a worker is slow.
-	leastEvidence = 3
+	slowBelow   = 0.55
+	normalAbove = 0.75
+	// minRuns is how many runs must tell that a worker is slow.
+	minRuns = 3
 	// slowFor is how long a worker counts as slow without evidence: then it is tried again, and
 	// if it is slow still, it counts as that for twice as long, up to slowDoublings times.
-	slowFor       = 5 * time.Second
-	slowDoublings = 2
+	slowFor          = 5 * time.Second
+	maxSlowDoublings = 2
 	// hangingSpeed is what a worker counts for that hangs a part of its tasks: each that does
 	// is noticed, stopped and started again.
 	hangingSpeed = 0.25
-	// slowShare is the largest part of the workers of a pool of which anything is known that may
+	// maxSlowShare is the largest part of the workers of a pool of which anything is known that may
 	// count as slow. What is usual is the median: beyond half it would not be.
-	slowShare = 0.4
+	maxSlowShare = 0.4
 )
 
-// Standing is whether a worker counts as slow, or as one on which tasks hang. The zero value
+// Status is whether a worker counts as slow, or as one on which tasks hang. The zero value
 // counts as neither.
-type Standing struct {
+type Status struct {
 	Slow, Hanging bool
 	// Speed is the last one that was known.
 	Speed mfspeed.Speed
 	// slowAt and hungAt are when it was last seen to be slow, and to hang tasks.
 	slowAt, hungAt time.Time
-	// toldAt is when its tasks last told of its speed.
-	toldAt time.Time
-	// tries is how often it was tried again since it was last seen to be usual.
-	tries int
+	// measuredAt is when its tasks last told of its speed.
+	measuredAt time.Time
+	// retries is how often it was tried again since it was last seen to be usual.
+	retries int
 }
 
-// Uneven reports whether the worker is of less use than its peers.
-func (s Standing) Uneven() bool { return s.Slow || s.Hanging }
+// Degraded reports whether the worker is of less use than its peers.
+func (s Status) Degraded() bool { return s.Slow || s.Hanging }
 
 // Known reports whether anything is known of the worker's speed that is not long ago.
-func (s Standing) Known(now time.Time) bool {
-	return s.Uneven() || !s.toldAt.IsZero() && now.Sub(s.toldAt) <= slowFor
+func (s Status) Known(now time.Time) bool {
+	return s.Degraded() || !s.measuredAt.IsZero() && now.Sub(s.measuredAt) <= slowFor
 }
 
 // Cleared returns the standing of a worker that does not count as uneven after all.
-func (s Standing) Cleared() Standing { return Standing{Speed: s.Speed, toldAt: s.toldAt} }
+func (s Status) Cleared() Status { return Status{Speed: s.Speed, measuredAt: s.measuredAt} }
 
-// Relative returns the worker's speed as decisions take it: 1 unless it is uneven.
-func (s Standing) Relative() float64 {
+// RelativeSpeed returns the worker's speed as decisions take it: 1 unless it is uneven.
+func (s Status) RelativeSpeed() float64 {
 	speed := 1.0
 	if s.Slow {
 		speed = min(slowBelow, s.Speed.Relative)
@@ -71,20 +71,20 @@
 //
 // The load it answers: a part of a pool's machines turns several times slower than the others
 // for a while, among tasks of which a few take several times their estimate anyway.
-func (s Standing) Next(v mfspeed.Speed, hangs bool, now time.Time) Standing {
+func (s Status) Next(v mfspeed.Speed, hangs bool, now time.Time) Status {
 	next := s
 	if v.Runs > 0 {
-		next.toldAt = now
+		next.measuredAt = now
 	}
 	switch {
-	case v.Runs >= leastEvidence && v.UpperBound() < slowBelow && (s.Slow || v.Conclusive || v.Jobs >= leastJobs):
+	case v.Runs >= minRuns && v.UpperBound() < slowBelow && (s.Slow || v.Conclusive || v.Jobs >= minJobs):
 		next.Slow, next.Speed, next.slowAt = true, v, now
-	case v.Runs > 0 && v.Fast > usualAbove && v.LowerBound() > slowBelow:
-		next.Slow, next.Speed, next.tries = false, v, 0
+	case v.Runs > 0 && v.Fast > normalAbove && v.LowerBound() > slowBelow:
+		next.Slow, next.Speed, next.retries = false, v, 0
 	case !s.Slow:
 		next.Speed = v
-	case now.Sub(s.slowAt) > slowFor<<min(s.tries, slowDoublings):
-		next.Slow, next.Speed, next.tries = false, v, s.tries+1
+	case now.Sub(s.slowAt) > slowFor<<min(s.retries, maxSlowDoublings):
+		next.Slow, next.Speed, next.retries = false, v, s.retries+1
 	}
 	if hangs {
 		next.Hanging, next.hungAt = true, now
@@ -100,13 +100,13 @@
 	Speed  float64
 }
 
-// Bound returns those candidates of a pool that may count as slow: none, if they are more than a
+// LimitSlow returns those candidates of a pool that may count as slow: none, if they are more than a
 // part of the workers of which anything is known.
 //
 // The load it answers: all machines of a pool slow down together, so that none of them is of
 // less use than the others.
-func Bound(candidates []Candidate, known int) []Candidate {
-	if len(candidates) > int(slowShare*float64(known)) {
+func LimitSlow(candidates []Candidate, known int) []Candidate {
+	if len(candidates) > int(maxSlowShare*float64(known)) {
 		return nil
 	}
 	return candidates
--- a/mfstraggler/straggler_test.go
+++ b/mfstraggler/straggler_test.go
@@ -18,7 +18,7 @@
 	return mfspeed.Speed{Runs: runs, Jobs: min(runs, 2), Relative: relative, Fast: fast, Uncertainty: uncertainty}
 }
 
-func TestStanding(t *testing.T) {
+func TestStatusNext(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		speed mfspeed.Speed
@@ -32,27 +32,27 @@
 		{"one job that is usual elsewhere", mfspeed.Speed{Runs: 4, Jobs: 1, Conclusive: true, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, true},
 		{"nothing known", mfspeed.Speed{}, false},
 	} {
-		assert.Equal(t, mfstraggler.Standing{}.Next(c.speed, false, start).Slow, c.slow, c.name)
+		assert.Equal(t, mfstraggler.Status{}.Next(c.speed, false, start).Slow, c.slow, c.name)
 	}
 }
 
 // Guards against a worker that gets no work counting as slow for ever.
 func TestSlowWorkerIsTriedAgain(t *testing.T) {
-	s := mfstraggler.Standing{}.Next(speed(4, 0.2, 0.25, 0.2), false, start)
+	s := mfstraggler.Status{}.Next(speed(4, 0.2, 0.25, 0.2), false, start)
 	assert.Assert(t, s.Next(mfspeed.Speed{}, false, start.Add(4*time.Second)).Slow)
 	assert.Assert(t, !s.Next(mfspeed.Speed{}, false, start.Add(6*time.Second)).Slow)
 	assert.Assert(t, !s.Next(speed(4, 1, 1.1, 0.2), false, start.Add(time.Second)).Slow)
 }
 
 // Guards against a pool that counts as slow as a whole.
-func TestOnlyAPartOfAPoolIsSlow(t *testing.T) {
+func TestSlowShareOfPoolIsLimited(t *testing.T) {
 	var all []mfstraggler.Candidate
 	for i := range 10 {
 		all = append(all, mfstraggler.Candidate{Worker: mothferry.WorkerID(fmt.Sprint(i)), Speed: 1 - 0.05*float64(i)})
 	}
-	assert.Equal(t, len(mfstraggler.Bound(all, 10)), 0)
-	assert.Equal(t, len(mfstraggler.Bound(all[:5], 10)), 0)
-	assert.DeepEqual(t, mfstraggler.Bound(all[:4], 10), all[:4])
+	assert.Equal(t, len(mfstraggler.LimitSlow(all, 10)), 0)
+	assert.Equal(t, len(mfstraggler.LimitSlow(all[:5], 10)), 0)
+	assert.DeepEqual(t, mfstraggler.LimitSlow(all[:4], 10), all[:4])
 }
 
 func TestRestart(t *testing.T) {
@@ -69,23 +69,23 @@
 		{"of no use either way", 30 * s, 12 * s, 1 * s, 9 * s, false},
 		{"little to win", 1200 * time.Millisecond, 1 * s, 1 * s, 9 * s, false},
 	} {
-		b := mfstraggler.Behind{Here: c.here, There: c.there, Left: c.left, LateLeft: c.lateLeft}
-		assert.Equal(t, b.Restart(), c.want, c.name)
+		b := mfstraggler.Straggler{Remaining: c.here, Elsewhere: c.there, UntilLate: c.left, UntilTooLate: c.lateLeft}
+		assert.Equal(t, b.ShouldRestart(), c.want, c.name)
 	}
 }
 
 // Guards against tasks that wait for usual workers for longer than a slow one takes.
-func TestWaitOnSlow(t *testing.T) {
-	assert.Assert(t, mfstraggler.WaitOnSlow(500*time.Millisecond, 300*time.Millisecond, 0.2))
-	assert.Assert(t, !mfstraggler.WaitOnSlow(100*time.Millisecond, 600*time.Millisecond, 0.2))
-	assert.Assert(t, !mfstraggler.WaitOnSlow(10*time.Second, 2*time.Second, 0.2))
-	assert.Assert(t, !mfstraggler.WaitOnSlow(time.Second, 0, 1))
+func TestWaitForNormal(t *testing.T) {
+	assert.Assert(t, mfstraggler.WaitForNormal(500*time.Millisecond, 300*time.Millisecond, 0.2))
+	assert.Assert(t, !mfstraggler.WaitForNormal(100*time.Millisecond, 600*time.Millisecond, 0.2))
+	assert.Assert(t, !mfstraggler.WaitForNormal(10*time.Second, 2*time.Second, 0.2))
+	assert.Assert(t, !mfstraggler.WaitForNormal(time.Second, 0, 1))
 }
 
 // Guards against workers that are blamed for tasks that hang on all of them.
-func TestHangsOfAllWorkersBlameNone(t *testing.T) {
-	assert.Assert(t, mfstraggler.Pool{Workers: 8, Hangs: 4}.Blames(4, 2))
-	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 32}.Blames(4, 2))
-	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 1}.Blames(1, 2))
-	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 4}.Blames(4, 1))
+func TestPoolWideHangsAreNotAttributed(t *testing.T) {
+	assert.Assert(t, mfstraggler.Pool{Workers: 8, Hangs: 4}.WorkerAtFault(4, 2))
+	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 32}.WorkerAtFault(4, 2))
+	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 1}.WorkerAtFault(1, 2))
+	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 4}.WorkerAtFault(4, 1))
 }
