--- a/mfstraggler/restart.go
+++ b/mfstraggler/restart.go
@@ -3,53 +3,53 @@
 import "time"
 
 const (
-	// MaxRestarts is how often a task may start again elsewhere for being behind.
+	// MaxRestarts is how often a task may be restarted elsewhere as a straggler.
 	MaxRestarts = 2
 	// MaxCopies is how often a task of a speculative step may have a copy.
 	MaxCopies = 1
-	// minGain is how much longer a task must take where it is than elsewhere: what was
-	// done is lost, and both are estimates.
+	// minGain is how many times as long as elsewhere a task must take where it is: the work
+	// done so far is lost, and both are estimates.
 	minGain = 1.4
-	// estimateError is the part of an expected time that it may be wrong by.
+	// estimateError is the fraction by which an expected time may be wrong.
 	estimateError = 0.2
 )
 
 // Straggler is a task that runs on a slow worker.
 type Straggler struct {
-	// Remaining is how long it still takes where it is, There until it would end elsewhere, with
-	// all that stopping and starting take.
+	// Remaining is how long it still takes where it is, Elsewhere until it would end
+	// elsewhere, stop and start included.
 	Remaining, Elsewhere time.Duration
-	// UntilLate is how long its job has until it is late, after what follows the task;
-	// LateLeft until it is of no use.
+	// UntilLate is how long its job has until it is late, less what follows the task;
+	// UntilTooLate the same until it is of no use.
 	UntilLate, UntilTooLate time.Duration
 }
 
-// ShouldRestart reports whether the task should start again elsewhere: it ends clearly sooner there,
-// and its caller gains by it. One that ends in time where it is stays, as what it has done
+// ShouldRestart reports whether the task should be restarted elsewhere: it ends clearly sooner
+// there, and its caller gains by it. One that ends on time where it is stays, as its work
 // would be lost for nothing; so does one that comes too late either way.
 //
-// The load it answers: jobs of a dozen tasks each, one or two of which sit on slow machines
-// and hold the job up.
-func (b Straggler) ShouldRestart() bool {
-	if float64(b.Remaining) < minGain*float64(b.Elsewhere) {
+// Otherwise one or two tasks on slow machines would delay a whole job of a dozen tasks.
+func (s Straggler) ShouldRestart() bool {
+	if float64(s.Remaining) < minGain*float64(s.Elsewhere) {
 		return false
 	}
-	here, there := float64(b.Remaining)*(1+estimateError), float64(b.Elsewhere)*(1-estimateError)
+	remaining, elsewhere := float64(s.Remaining)*(1+estimateError), float64(s.Elsewhere)*(1-estimateError)
 	switch {
-	case here <= float64(b.UntilLate):
+	case remaining <= float64(s.UntilLate):
 		return false
-	case there <= float64(b.UntilLate):
+	case elsewhere <= float64(s.UntilLate):
 		return true
 	default:
-		return here > float64(b.UntilTooLate) && there <= float64(b.UntilTooLate)
+		return remaining > float64(s.UntilTooLate) && elsewhere <= float64(s.UntilTooLate)
 	}
 }
 
-// WaitForNormal reports whether a task should wait for room on a usual worker rather than start
-// on one of some speed now. Wait is how long that room is expected to take.
+// WaitForNormal reports whether a task should wait for free capacity on a normal worker rather
+// than start now on one with the given speed. The wait is how long that capacity is expected
+// to take.
 //
-// The load it answers: the usual machines of a pool are full for the moment, and its slow ones
-// have room because they are slow.
+// When the normal machines of a pool are full for the moment, its slow ones have free capacity
+// because they are slow.
 func WaitForNormal(estimate, wait time.Duration, speed float64) bool {
 	if speed >= 1 || wait > maxWait {
 		return false
@@ -58,8 +58,8 @@
 }
 
 const (
-	// maxWait bounds the wait for a usual worker beside idle slow ones.
+	// maxWait bounds the wait for a normal worker beside idle slow ones.
 	maxWait = time.Second
-	// minSpeed bounds what is made of a speed.
+	// minSpeed bounds the speeds by which estimates are divided.
 	minSpeed = 0.05
 )
--- a/mfstraggler/slow.go
+++ b/mfstraggler/slow.go
@@ -1,5 +1,5 @@
-// Package mfstraggler decides which workers count as slow, what that means for the choice
-// of a worker, and which tasks start again elsewhere. The decisions are pure.
+// Package mfstraggler decides which workers count as slow, what that means for the choice of a
+// worker, and which tasks are restarted elsewhere. Its functions have no side effects.
 package mfstraggler
 
 import (
@@ -10,51 +10,53 @@
 )
 
 const (
-	// slowBelow is the speed below which a worker is slow, usualAbove that above which it no
-	// longer is. A job's objective leaves it about half its time again: at half the speed
-	// tasks are late, at three quarters few are.
+	// slowBelow is the speed below which a worker is slow, normalAbove that above which it no
+	// longer is. A job's objective leaves it about half its duration as margin: at half the
+	// speed tasks are late, at three quarters few are.
 	slowBelow   = 0.55
 	normalAbove = 0.75
-	// minRuns is how many runs must tell that a worker is slow.
+	// minRuns is how many runs must show that a worker is slow.
 	minRuns = 3
-	// slowFor is how long a worker counts as slow without evidence: then it is tried again, and
-	// if it is slow still, it counts as that for twice as long, up to slowDoublings times.
+	// slowFor is how long a worker counts as slow without new evidence. It is then tried
+	// again, and if it is still slow, it counts as slow for twice as long, up to
+	// maxSlowDoublings times.
 	slowFor          = 5 * time.Second
 	maxSlowDoublings = 2
-	// hangingSpeed is what a worker counts for that hangs a part of its tasks: each that does
-	// is noticed, stopped and started again.
+	// hangingSpeed is the speed assumed of a worker that hangs some of its tasks: each of them
+	// is detected, stopped and restarted.
 	hangingSpeed = 0.25
-	// maxSlowShare is the largest part of the workers of a pool of which anything is known that may
-	// count as slow. What is usual is the median: beyond half it would not be.
+	// maxSlowShare is the largest fraction of a pool's workers with a known speed that may
+	// count as slow. The normal speed is their median, so that it would not be normal if more
+	// than half were slow.
 	maxSlowShare = 0.4
 )
 
-// Status is whether a worker counts as slow, or as one on which tasks hang. The zero value
+// Status says whether a worker counts as slow, or as one on which tasks hang. The zero value
 // counts as neither.
 type Status struct {
 	Slow, Hanging bool
-	// Speed is the last one that was known.
+	// Speed is the last known one.
 	Speed mfspeed.Speed
-	// slowAt and hungAt are when it was last seen to be slow, and to hang tasks.
+	// slowAt and hungAt are when it was last found to be slow, and to hang tasks.
 	slowAt, hungAt time.Time
-	// measuredAt is when its tasks last told of its speed.
+	// measuredAt is when its tasks last were evidence of its speed.
 	measuredAt time.Time
-	// retries is how often it was tried again since it was last seen to be usual.
+	// retries is how often it was tried again since it was last found to be normal.
 	retries int
 }
 
-// Degraded reports whether the worker is of less use than its peers.
+// Degraded reports whether the worker is slow or hangs tasks.
 func (s Status) Degraded() bool { return s.Slow || s.Hanging }
 
-// Known reports whether anything is known of the worker's speed that is not long ago.
+// Known reports whether the worker is degraded or its speed was measured recently.
 func (s Status) Known(now time.Time) bool {
 	return s.Degraded() || !s.measuredAt.IsZero() && now.Sub(s.measuredAt) <= slowFor
 }
 
-// Cleared returns the standing of a worker that does not count as uneven after all.
+// Cleared returns the status of a worker that does not count as degraded after all.
 func (s Status) Cleared() Status { return Status{Speed: s.Speed, measuredAt: s.measuredAt} }
 
-// RelativeSpeed returns the worker's speed as decisions take it: 1 unless it is uneven.
+// RelativeSpeed returns the worker's speed for decisions: 1 unless it is degraded.
 func (s Status) RelativeSpeed() float64 {
 	speed := 1.0
 	if s.Slow {
@@ -66,11 +68,11 @@
 	return speed
 }
 
-// Next returns a worker's standing by what is known of its speed now, and by whether it is
-// to blame for tasks that hang.
+// Next returns a worker's status, given what is known of its speed now and whether it is at
+// fault for hung tasks.
 //
-// The load it answers: a part of a pool's machines turns several times slower than the others
-// for a while, among tasks of which a few take several times their estimate anyway.
+// It detects machines of a pool that are several times slower than the others for a while,
+// among tasks of which a few take several times their estimate anyway.
 func (s Status) Next(v mfspeed.Speed, hangs bool, now time.Time) Status {
 	next := s
 	if v.Runs > 0 {
@@ -100,11 +102,9 @@
 	Speed  float64
 }
 
-// LimitSlow returns those candidates of a pool that may count as slow: none, if they are more than a
-// part of the workers of which anything is known.
-//
-// The load it answers: all machines of a pool slow down together, so that none of them is of
-// less use than the others.
+// LimitSlow returns those candidates of a pool that may count as slow: none, if they are more
+// than maxSlowShare of the workers with a known speed. If all machines of a pool slow down
+// together, none of them is of less use than the others.
 func LimitSlow(candidates []Candidate, known int) []Candidate {
 	if len(candidates) > int(maxSlowShare*float64(known)) {
 		return nil
--- a/mfstraggler/straggler_test.go
+++ b/mfstraggler/straggler_test.go
@@ -25,18 +25,18 @@
 		slow  bool
 	}{
 		{"a fifth of the speed", speed(4, 0.2, 0.25, 0.2), true},
-		{"long tasks beside usual ones", speed(4, 0.2, 0.9, 0.2), false},
-		{"one run tells too little", speed(1, 0.2, 0.2, 0.2), false},
+		{"long tasks beside normal ones", speed(4, 0.2, 0.9, 0.2), false},
+		{"one run is too little evidence", speed(1, 0.2, 0.2, 0.2), false},
 		{"too uncertain", speed(2, 0.4, 0.45, 0.4), false},
-		{"one job tells too little", mfspeed.Speed{Runs: 4, Jobs: 1, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, false},
-		{"one job that is usual elsewhere", mfspeed.Speed{Runs: 4, Jobs: 1, Conclusive: true, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, true},
+		{"one job is too little evidence", mfspeed.Speed{Runs: 4, Jobs: 1, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, false},
+		{"one job that is normal elsewhere", mfspeed.Speed{Runs: 4, Jobs: 1, Conclusive: true, Relative: 0.2, Fast: 0.25, Uncertainty: 0.2}, true},
 		{"nothing known", mfspeed.Speed{}, false},
 	} {
 		assert.Equal(t, mfstraggler.Status{}.Next(c.speed, false, start).Slow, c.slow, c.name)
 	}
 }
 
-// Guards against a worker that gets no work counting as slow for ever.
+// Guards against a worker without work that counts as slow forever.
 func TestSlowWorkerIsTriedAgain(t *testing.T) {
 	s := mfstraggler.Status{}.Next(speed(4, 0.2, 0.25, 0.2), false, start)
 	assert.Assert(t, s.Next(mfspeed.Speed{}, false, start.Add(4*time.Second)).Slow)
@@ -58,23 +58,24 @@
 func TestRestart(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
-		name                        string
-		here, there, left, lateLeft time.Duration
-		want                        bool
+		name                    string
+		remaining, elsewhere    time.Duration
+		untilLate, untilTooLate time.Duration
+		want                    bool
 	}{
-		{"late here, in time there", 5 * s, 1 * s, 2 * s, 9 * s, true},
-		{"in time where it is", 2 * s, 1 * s, 3 * s, 9 * s, false},
+		{"late here, on time elsewhere", 5 * s, 1 * s, 2 * s, 9 * s, true},
+		{"on time where it is", 2 * s, 1 * s, 3 * s, 9 * s, false},
 		{"late either way", 5 * s, 3 * s, 1 * s, 9 * s, false},
-		{"of no use here, late there", 12 * s, 3 * s, 1 * s, 9 * s, true},
-		{"of no use either way", 30 * s, 12 * s, 1 * s, 9 * s, false},
-		{"little to win", 1200 * time.Millisecond, 1 * s, 1 * s, 9 * s, false},
+		{"too late here, late elsewhere", 12 * s, 3 * s, 1 * s, 9 * s, true},
+		{"too late either way", 30 * s, 12 * s, 1 * s, 9 * s, false},
+		{"little to gain", 1200 * time.Millisecond, 1 * s, 1 * s, 9 * s, false},
 	} {
-		b := mfstraggler.Straggler{Remaining: c.here, Elsewhere: c.there, UntilLate: c.left, UntilTooLate: c.lateLeft}
-		assert.Equal(t, b.ShouldRestart(), c.want, c.name)
+		task := mfstraggler.Straggler{Remaining: c.remaining, Elsewhere: c.elsewhere, UntilLate: c.untilLate, UntilTooLate: c.untilTooLate}
+		assert.Equal(t, task.ShouldRestart(), c.want, c.name)
 	}
 }
 
-// Guards against tasks that wait for usual workers for longer than a slow one takes.
+// Guards against tasks that wait for normal workers for longer than a slow one takes.
 func TestWaitForNormal(t *testing.T) {
 	assert.Assert(t, mfstraggler.WaitForNormal(500*time.Millisecond, 300*time.Millisecond, 0.2))
 	assert.Assert(t, !mfstraggler.WaitForNormal(100*time.Millisecond, 600*time.Millisecond, 0.2))
@@ -82,7 +83,7 @@
 	assert.Assert(t, !mfstraggler.WaitForNormal(time.Second, 0, 1))
 }
 
-// Guards against workers that are blamed for tasks that hang on all of them.
+// Guards against workers that are held at fault for tasks that hang on all of them.
 func TestPoolWideHangsAreNotAttributed(t *testing.T) {
 	assert.Assert(t, mfstraggler.Pool{Workers: 8, Hangs: 4}.WorkerAtFault(4, 2))
 	assert.Assert(t, !mfstraggler.Pool{Workers: 8, Hangs: 32}.WorkerAtFault(4, 2))
