--- a/mfsched/report.go
+++ b/mfsched/report.go
@@ -144,7 +144,7 @@
 
 // logOrphan logs which run is stopped as an orphan, and what is known of its task instead.
 func (s *State) logOrphan(w *worker, r runID) {
-	d := Decision{Message: "run is not its task's, ordered to stop", Job: r.task.Job, Worker: w.at.Worker, Fields: map[string]any{
+	d := Decision{Message: "run is not its task's, told to stop", Job: r.task.Job, Worker: w.at.Worker, Fields: map[string]any{
 		"occurrence": r.task.Occurrence, "step": r.task.Step, "index": r.task.Index, "run": r.run, "first_look": !w.fenced,
 	}}
 	if t := s.lookUp(r.task); t != nil {
--- a/mfstraggler/straggler_test.go
+++ b/mfstraggler/straggler_test.go
@@ -58,10 +58,9 @@
 func TestRestart(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
-		name                    string
-		remaining, elsewhere    time.Duration
-		untilLate, untilTooLate time.Duration
-		want                    bool
+		name                                          string
+		remaining, elsewhere, untilLate, untilTooLate time.Duration
+		want                                          bool
 	}{
 		{"late here, on time elsewhere", 5 * s, 1 * s, 2 * s, 9 * s, true},
 		{"on time where it is", 2 * s, 1 * s, 3 * s, 9 * s, false},
