--- a/mfsched/health.go
+++ b/mfsched/health.go
@@ -60,7 +60,7 @@
 }
 
 // quarantine gives a worker no work for a time, unless too many are quarantined already. The
-// first run after that is a trial: if it fails, the worker is quarantined for twice as long.
+// first run after that is a probe: if it fails, the worker is quarantined for twice as long.
 func (s *State) quarantine(w *worker, now time.Time) {
 	listed, quarantined := 0, 0
 	for _, o := range s.workers {
--- a/mfsched/loss.go
+++ b/mfsched/loss.go
@@ -18,7 +18,7 @@
 	// lossDecayTime is the decay time of the counts of answered and lost polls.
 	lossDecayTime = 3 * time.Second
 	// lossyShare is the fraction of lost polls above which two polls are in flight to a
-	// worker, minLostPolls how many must be lost: single ones are whenever a worker or a
+	// worker, minLostPolls how many must be lost: single polls are lost whenever a worker or a
 	// connection ends.
 	lossyShare   = 0.01
 	minLostPolls = 2.0
