--- a/mfsched/account.go
+++ b/mfsched/account.go
@@ -7,32 +7,32 @@
 	"mothferry/mfshare"
 )
 
-// Account is what the config in force says of a client account.
+// Account is a client account's entry in the config in force.
 type Account struct {
-	// Weight is how many jobs a second the account is owed.
+	// Weight is the account's rate in jobs a second.
 	Weight float64
-	// Limit bounds what its tasks may have running over all workers; a resource that is
-	// zero is not bounded.
+	// Limit bounds the resources of its runs on all workers; a resource that is zero is not
+	// bounded.
 	Limit mothferry.Resources
 }
 
-// account is a client account and what it has running.
+// account is a client account and its usage.
 //
-// What goes wrong without the count: the limit is passed unnoticed by runs that nobody is
-// sure of. A run therefore counts from when it is decided until it is known to be over,
-// through orders without answer and changes of the owner, which restores them.
+// A run counts from its decision until it is confirmed to have ended, also while orders have no
+// answer and across changes of the owner, which restores the runs. Unresolved runs would
+// otherwise exceed the limit unnoticed.
 type account struct {
 	Account
-	// used is what its tasks take that are, or may be, at a worker.
+	// used is what its tasks need that are, or may be, on a worker.
 	used mothferry.Resources
-	// orphaned is what runs of it take that should not be there and have not surely ended, as
-	// of the round of placing under way.
+	// orphaned is what its orphaned runs need that are not confirmed to have ended, as of the
+	// current placement round.
 	orphaned mothferry.Resources
-	// allowance is what it may still send of what it is owed.
+	// allowance is the token bucket for its rate of jobs.
 	allowance mfshare.TokenBucket
 }
 
-// accountOf returns an account by its id, nil for none.
+// accountOf returns an account by its id, adding it if it isn't known; nil for an empty id.
 func (s *State) accountOf(id mothferry.AccountID) *account {
 	if id == "" {
 		return nil
@@ -45,8 +45,8 @@
 	return a
 }
 
-// applyAccounts takes in what a newer config says. An account that it does not name any
-// more keeps its last limit: jobs of it that were accepted go on.
+// applyAccounts applies the accounts of a newer config. An account that is no longer in it keeps
+// its last limit, as its accepted jobs continue.
 func (s *State) applyAccounts(accounts map[mothferry.AccountID]Account) {
 	s.hasAccounts = len(accounts) > 0
 	for id, a := range accounts {
@@ -56,39 +56,39 @@
 	}
 }
 
-// addUsage adds to what an account has running.
+// addUsage adds a run's resources to an account's usage.
 func (a *account) addUsage(need mothferry.Resources) {
 	if a != nil {
 		a.used = a.used.Add(need)
 	}
 }
 
-// removeUsage subtracts from what an account has running.
+// removeUsage subtracts a run's resources from an account's usage.
 func (a *account) removeUsage(need mothferry.Resources) {
 	if a != nil {
 		a.used = a.used.Sub(need)
 	}
 }
 
-// admits reports whether an account may have so much more running. One task that is larger
-// than the whole limit may run alone, or it never would.
+// admits reports whether an account's limit admits one more run. A single task that exceeds the
+// whole limit may run alone, as it would otherwise never run.
 func (a *account) admits(need mothferry.Resources) bool {
 	if a == nil {
 		return true
 	}
-	taken := a.used.Add(a.orphaned)
-	return taken == (mothferry.Resources{}) || withinLimit(taken.Add(need), a.Limit)
+	used := a.used.Add(a.orphaned)
+	return used == (mothferry.Resources{}) || withinLimit(used.Add(need), a.Limit)
 }
 
-// withinLimit reports whether an amount keeps to a limit, of which a zero bounds nothing.
-func withinLimit(amount, most mothferry.Resources) bool {
-	return (most.Cores == 0 || amount.Cores <= most.Cores) &&
-		(most.Memory == 0 || amount.Memory <= most.Memory) &&
-		(most.Accelerators == 0 || amount.Accelerators <= most.Accelerators)
+// withinLimit reports whether an amount is within a limit; a resource whose limit is zero is not
+// bounded.
+func withinLimit(amount, limit mothferry.Resources) bool {
+	return (limit.Cores == 0 || amount.Cores <= limit.Cores) &&
+		(limit.Memory == 0 || amount.Memory <= limit.Memory) &&
+		(limit.Accelerators == 0 || amount.Accelerators <= limit.Accelerators)
 }
 
-// admitsAll reports whether an account may have so many more tasks of a step running that
-// work only together.
+// admitsAll reports whether an account's limit admits so many more runs, which work only together.
 func (a *account) admitsAll(need mothferry.Resources, count int) bool {
 	if a == nil {
 		return true
@@ -100,17 +100,17 @@
 	return withinLimit(sum, a.Limit)
 }
 
-// stillAdmits reports whether a run that counts already may be ordered: the limit may have
-// been lowered since it was decided.
+// stillAdmits reports whether a run that is already counted may be ordered, as the limit may have
+// been lowered since its decision.
 func (a *account) stillAdmits(need mothferry.Resources) bool {
 	return !a.overLimit() || a.used.Add(a.orphaned) == need
 }
 
-// overLimit reports whether an account has more running than it may, so that what is
-// stopped would not start again.
+// overLimit reports whether an account exceeds its limit, so that a task that is stopped would not
+// start again.
 func (a *account) overLimit() bool { return a != nil && !withinLimit(a.used.Add(a.orphaned), a.Limit) }
 
-// countOrphaned takes in what stray runs take of their accounts' limits.
+// countOrphaned sums up what orphaned runs take from their accounts' limits.
 func (s *State) countOrphaned() {
 	for _, a := range s.accounts {
 		a.orphaned = mothferry.Resources{}
@@ -124,8 +124,8 @@
 	}
 }
 
-// withinRate reports whether a job that comes now is within what its account is owed. Without
-// an account, or a rate, all is.
+// withinRate reports whether a job that arrives now is within its account's rate. Without an
+// account or a rate, every job is, and so is every lasting job.
 func (j *job) withinRate(now time.Time) bool {
 	if j.account == nil || j.account.Weight <= 0 || j.submission.Lasts() {
 		return true
@@ -133,7 +133,7 @@
 	return j.account.allowance.Take(j.account.Weight, now)
 }
 
-// UsedByAccount returns how many cores the tasks of each account have.
+// UsedByAccount returns the number of cores that the tasks of each account use.
 func (s *State) UsedByAccount() map[mothferry.AccountID]float64 {
 	out := map[mothferry.AccountID]float64{}
 	for id, a := range s.accounts {
--- a/mfsched/account_test.go
+++ b/mfsched/account_test.go
@@ -13,7 +13,7 @@
 
 const account mothferry.AccountID = "a"
 
-// setLimit brings a config in which the account may have so many cores running.
+// setLimit applies a config that limits the account to a number of cores.
 func (s *script) setLimit(cores mothferry.Millicores) {
 	s.step(mfsched.ConfigChanged{
 		Queues:   map[mothferry.QueueID]mfsched.Queue{queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond}},
@@ -30,16 +30,16 @@
 	s.step(mfsched.JobFound{Job: id, Submission: job})
 }
 
-// addReadyWorker lists a worker of 16 cores that answers its first look.
+// addReadyWorker lists a worker with 16 cores that answers its first poll.
 func (s *script) addReadyWorker(id mothferry.WorkerID) {
 	s.listWorker(id)
 	s.advance(10 * time.Millisecond)
 	s.answerPoll(id, mothferry.LookReport{})
 }
 
-// An account had ten tasks of a core running and may have four: what it had running was
-// not counted. A fifth starts only once one of the four has ended. Another job without an
-// account is not held back.
+// Guards against runs that aren't counted, so that an account exceeds its limit: of ten tasks of
+// one core, four start, and a fifth only once one of them has ended. A job without an account is
+// not delayed.
 func TestAccountStaysWithinItsLimit(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(4000)
@@ -53,13 +53,13 @@
 	}
 	s.submit("k", 2)
 	s.advance(100 * time.Millisecond)
-	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 2, "a job of no account")
+	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 2, "a job without an account")
 	s.answerPoll("w", mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: first[0].Order.Task, Run: 1, Cause: mothferry.EndDone}}, Running: runningOf(first[1:])})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// runningOf lists runs as their worker shows them.
+// runningOf lists runs as their worker reports them.
 func runningOf(starts []mfsched.Start) []mothferry.RunningTask {
 	var out []mothferry.RunningTask
 	for _, o := range starts {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// A limit is lowered far below what runs: nothing is ended for it, and nothing more starts
-// until enough has ended. A task that is larger than the limit runs alone rather than never.
+// A limit is lowered far below an account's usage. No run must be stopped, and none started until
+// enough have ended. A task that exceeds the limit must run alone rather than never.
 func TestLoweredLimitStopsNoRuns(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(8000)
@@ -94,14 +94,14 @@
 	}
 	s.answerPoll("w", mothferry.LookReport{Ended: ends(0, 7), Running: runningOf(first[7:])})
 	s.advance(100 * time.Millisecond)
-	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core still runs, half a core may")
+	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core still runs, the limit is half a core")
 	s.answerPoll("w", mothferry.LookReport{Ended: ends(7, 8)})
 	s.advance(100 * time.Millisecond)
-	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1, "one task larger than the limit, alone")
+	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1, "one task that exceeds the limit, alone")
 }
 
-// A run that an earlier owner started and that is not known to be over takes of its
-// account's limit, and so does one that should not be there and is still ending.
+// A run that a previous owner started and that is not confirmed to have ended must count against
+// its account's limit, and so must an orphaned run that is still ending.
 func TestUnresolvedRunsCountAgainstAccountLimit(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(2000)
@@ -113,17 +113,17 @@
 	}})
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	stray := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j", Index: 2}, Run: 7, Percent: 10}
-	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{stray}})
+	orphan := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j", Index: 2}, Run: 7, Percent: 10}
+	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{orphan}})
 	s.advance(100 * time.Millisecond)
-	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core may run at a silent worker, one is still ending")
+	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core may run on an unresponsive worker, one is still ending")
 	s.answerPoll("w", mothferry.LookReport{})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// The members of a gang work only together: a part of one that its account's limit lets
-// through would hold room while it waits for the others, which may not start.
+// The members of a gang work only together. Some that the account's limit admits would hold
+// capacity while they wait for the others, which may not start.
 func TestGangBeyondLimitDoesNotStartPartially(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(4000)
@@ -136,8 +136,8 @@
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
 }
 
-// A lasting task whose account is over its limit could not start again elsewhere: it is
-// not moved away from a machine that is to be emptied.
+// A lasting task whose account is over its limit could not start again elsewhere, so it must not
+// be moved away from a machine that is being evacuated.
 func TestLastingTaskOverLimitIsNotMoved(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(4000)
@@ -150,9 +150,9 @@
 		s.answerStart(o, mfsched.ResultDone, "")
 	}
 	s.addReadyWorker("w-2")
-	at := runningOf(first)
-	at[0].Percent, at[1].Percent = 100, 100
-	s.answerPoll("w-1", mothferry.LookReport{Running: at})
+	running := runningOf(first)
+	running[0].Percent, running[1].Percent = 100, 100
+	s.answerPoll("w-1", mothferry.LookReport{Running: running})
 	s.setLimit(1500)
 	s.step(mfsched.WorkersToEvacuate{Workers: map[mothferry.WorkerID]bool{"w-1": true}})
 	s.advance(300 * time.Millisecond)
@@ -162,9 +162,9 @@
 	assert.Assert(t, len(takeCommands[mfsched.Stop](s)) > 0)
 }
 
-// A drawn history (seed 0x2d) had two tasks of an account begin 0.23 s after its limit had
-// been lowered below what ran. They had been decided before, their orders were lost, and
-// after a quarter of a second they were ordered again, though nothing more might start.
+// Guards against starts beyond a lowered limit by lost orders: two tasks were decided before the
+// limit was lowered, and their starts were sent again after a quarter of a second although
+// nothing more might start.
 func TestStartIsNotRetriedBeyondLoweredLimit(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(8000)
@@ -178,11 +178,11 @@
 	s.advance(400 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
 	s.answerStart(first[1], mfsched.ResultUnknown, "")
-	assert.Equal(t, len(takeCommands[mfsched.Stop](s)), 1, "it may have been carried out")
+	assert.Equal(t, len(takeCommands[mfsched.Stop](s)), 1, "the start may have been carried out")
 }
 
-// The same between the decision and the order, which waits until the decision is stored:
-// seconds on a store that is slow.
+// Guards against starts beyond a limit that is lowered between the decision and its order. The
+// order waits until the decision is stored, which takes seconds on a slow store.
 func TestPlannedStartIsNotSentBeyondLoweredLimit(t *testing.T) {
 	s := newScript(t)
 	s.setLimit(8000)
--- a/mfsched/allocation.go
+++ b/mfsched/allocation.go
@@ -11,16 +11,16 @@
 	"mothferry/mfshare"
 )
 
-// acceptedDecayTime is how long an accepted job counts in its account's rate of work.
+// acceptedDecayTime is the decay time of an account's rate of accepted work.
 const acceptedDecayTime = 2 * time.Second
 
-// recentWork is the work of a flow that came lately.
+// recentWork is a flow's recently accepted work.
 type recentWork struct{ cores, memory mfdecay.Sum }
 
-// sharesEnabled reports whether room is divided among client accounts.
+// sharesEnabled reports whether capacity is divided among client accounts.
 func (s *State) sharesEnabled() bool { return s.hasAccounts && !s.Off[mothferry.FeatureShares] }
 
-// recordRecentWork counts a job that came for its account.
+// recordRecentWork adds an accepted job to its flow's recent work.
 func (s *State) recordRecentWork(j *job, service mothferry.ServiceID, now time.Time) {
 	flow := mfshare.Flow{Service: service, Account: j.submission.Account}
 	f, ok := s.recentWork[flow]
@@ -37,8 +37,8 @@
 	f.memory.Add(sum.Memory, acceptedDecayTime, now)
 }
 
-// Allocations returns each account's share of each service and how long its work waits; nil
-// where room is not divided among accounts.
+// Allocations returns each account's share of each service and how long its work waits; nil if
+// capacity is not divided among accounts.
 func (s *State) Allocations(now time.Time) mfshare.Allocation {
 	if !s.sharesEnabled() {
 		return nil
@@ -46,20 +46,20 @@
 	return mfshare.Allocate(s.allocationInputs(now))
 }
 
-// allocationInputs gathers what accounts' shares follow from.
+// allocationInputs gathers the inputs of the accounts' allocations.
 func (s *State) allocationInputs(now time.Time) mfshare.AllocationInput {
-	e := mfshare.AllocationInput{
+	in := mfshare.AllocationInput{
 		Listed: map[mothferry.ServiceID]mfdemand.Amount{}, Lasting: map[mothferry.ServiceID]mfdemand.Amount{},
 		Fleet: s.fleetCores, Accounts: map[mothferry.AccountID]mfshare.Entitlement{},
 	}
 	lasting := map[mothferry.AccountID]mfdemand.Amount{}
 	for _, w := range s.sortedWorkers {
 		if w.listed && !w.Draining {
-			e.Listed[w.Service] = e.Listed[w.Service].Add(mfdemand.AmountOf(w.Capacity))
+			in.Listed[w.Service] = in.Listed[w.Service].Add(mfdemand.AmountOf(w.Capacity))
 		}
 		for _, t := range w.tasks {
 			if t.step.spec.Lasting {
-				e.Lasting[w.Service] = e.Lasting[w.Service].Add(mfdemand.AmountOf(t.step.spec.Room()))
+				in.Lasting[w.Service] = in.Lasting[w.Service].Add(mfdemand.AmountOf(t.step.spec.Room()))
 				lasting[t.job.submission.Account] = lasting[t.job.submission.Account].Add(mfdemand.AmountOf(t.step.spec.Need))
 			}
 		}
@@ -77,46 +77,46 @@
 		j := s.live[id]
 		q := s.queueOf(j)
 		flow := mfshare.Flow{Service: q.Service, Account: j.submission.Account}
-		if waits, turn := s.waitingWorkInTime(j, q, now); waits.Cores > 0 {
+		if waiting, ready := s.waitingWorkOnTime(j, q, now); waiting.Cores > 0 {
 			l := loads[flow]
-			l.Flow, l.Waiting, l.Ready, l.Jobs = flow, l.Waiting.Add(waits), l.Ready.Add(turn), l.Jobs+1
+			l.Flow, l.Waiting, l.Ready, l.Jobs = flow, l.Waiting.Add(waiting), l.Ready.Add(ready), l.Jobs+1
 			loads[flow] = l
 		}
 	}
 	for _, flow := range slices.SortedFunc(maps.Keys(loads), mfshare.Flow.Compare) {
-		e.Loads = append(e.Loads, loads[flow])
-		e.Accounts[flow.Account] = s.entitlement(flow.Account, lasting[flow.Account])
+		in.Loads = append(in.Loads, loads[flow])
+		in.Accounts[flow.Account] = s.entitlement(flow.Account, lasting[flow.Account])
 	}
-	return e
+	return in
 }
 
-// minFlowRate is the rate of work, in cores, below which it counts as none.
+// minFlowRate is the rate of accepted work, in cores, below which a flow counts as idle.
 const minFlowRate = 0.01
 
-// entitlement returns what an account is owed, and may have beside its lasting tasks.
+// entitlement returns an account's weight and what its limit leaves besides its lasting tasks.
 func (s *State) entitlement(id mothferry.AccountID, lasting mfdemand.Amount) mfshare.Entitlement {
 	a, ok := s.accounts[id]
 	if !ok {
 		return mfshare.Entitlement{}
 	}
-	most := mfdemand.AmountOf(a.Limit)
-	o := mfshare.Entitlement{Weight: a.Weight, Limited: most.Cores > 0 || most.Memory > 0}
-	// Zero is no bound: what lasting tasks leave stays above it.
-	if most.Cores > 0 {
-		o.Limit.Cores = max(minRemaining, most.Cores-lasting.Cores)
+	limit := mfdemand.AmountOf(a.Limit)
+	e := mfshare.Entitlement{Weight: a.Weight, Limited: limit.Cores > 0 || limit.Memory > 0}
+	// A limit of zero bounds nothing, so what lasting tasks leave stays above zero.
+	if limit.Cores > 0 {
+		e.Limit.Cores = max(minRemaining, limit.Cores-lasting.Cores)
 	}
-	if most.Memory > 0 {
-		o.Limit.Memory = max(minRemaining, most.Memory-lasting.Memory)
+	if limit.Memory > 0 {
+		e.Limit.Memory = max(minRemaining, limit.Memory-lasting.Memory)
 	}
-	return o
+	return e
 }
 
-// minRemaining is the least of a bounded resource that counts as left, in cores or GiB.
+// minRemaining is the smallest remainder of a limited resource, in cores or GiB.
 const minRemaining = 0.001
 
-// waitingWorkInTime returns the work of a job that waits and can be in time, and the part of it
-// whose turn has come.
-func (s *State) waitingWorkInTime(j *job, q Queue, now time.Time) (sum, turn mfdemand.Amount) {
+// waitingWorkOnTime returns the waiting work of a job that can meet its objective, and the part of
+// it that is ready.
+func (s *State) waitingWorkOnTime(j *job, q Queue, now time.Time) (sum, ready mfdemand.Amount) {
 	for _, o := range j.occurrences {
 		if o.scheduledAt.After(now) {
 			break
@@ -125,22 +125,22 @@
 			continue
 		}
 		for _, p := range o.steps {
-			waits := taskWork(p.spec).Times(float64(p.waiting))
-			sum = sum.Add(waits)
+			work := taskWork(p.spec).Times(float64(p.waiting))
+			sum = sum.Add(work)
 			if dependenciesDone(o, p) {
-				turn = turn.Add(waits)
+				ready = ready.Add(work)
 			}
 		}
 	}
-	return sum, turn
+	return sum, ready
 }
 
-// NoticeableWaits returns the shortest wait that matters to callers of each service: half of what
-// its queues' objectives leave beside a job's own work.
+// NoticeableWaits returns the shortest wait that matters to the callers of each service: half of
+// the smallest latency that its queues' objectives add to a job's own work.
 func (s *State) NoticeableWaits() map[mothferry.ServiceID]time.Duration {
 	out := map[mothferry.ServiceID]time.Duration{}
 	for _, q := range s.queues {
-		if known, ok := out[q.Service]; !ok || q.Latency/2 < known {
+		if shortest, ok := out[q.Service]; !ok || q.Latency/2 < shortest {
 			out[q.Service] = q.Latency / 2
 		}
 	}
--- a/mfsched/capacity_test.go
+++ b/mfsched/capacity_test.go
@@ -12,9 +12,9 @@
 	"mothferry/mfsched"
 )
 
-// A worker that takes whatever it is told to start had more on it than its room. A run that
-// should not be there had been told to stop, and while it was still ending, its room was
-// given to others: only what the scheduler meant to be there was counted.
+// Guards against a worker that runs more than its capacity, if it accepts every start: the
+// capacity of an orphaned run was given to others while that run was still ending, because only
+// assigned tasks were counted.
 func TestOrphanedRunsUseCapacityUntilTheyEnd(t *testing.T) {
 	s := newScript(t)
 	job := submission(s.now, 1)
@@ -22,24 +22,24 @@
 	s.step(mfsched.JobFound{Job: "j", Submission: job})
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	// What a former owner started runs under a number that this one does not know.
-	stray := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j"}, Run: 7, Percent: 10}
-	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{stray}})
+	// A run that a previous owner started has a number that this owner doesn't know.
+	orphan := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j"}, Run: 7, Percent: 10}
+	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{orphan}})
 	s.advance(100 * time.Millisecond)
-	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "10 of 16 cores are taken by a run that is still there")
+	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "10 of 16 cores are reserved for a run that is still there")
 	s.answerPoll("w", mothferry.LookReport{})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// The same with a run whose task has done its work elsewhere: it is told to stop, and may
-// be there until the worker has shown that it is not.
+// Guards against the same with a run whose task was completed elsewhere: a stop is ordered, and
+// the run may be there until the worker has reported that it is not.
 func TestSupersededRunsUseCapacityUntilTheyEnd(t *testing.T) {
 	s, name := runningOn(t, "w-1")
 	s.listWorker("w-2")
 	s.advance(10 * time.Millisecond)
 	s.answerPoll("w-2", mothferry.LookReport{})
-	// The first worker falls silent until its leases have lapsed; the task starts again.
+	// The first worker is unresponsive until its leases have expired; the task starts again.
 	var again []mfsched.Start
 	for len(again) == 0 {
 		s.advance(50 * time.Millisecond)
@@ -53,7 +53,7 @@
 		again = takeCommands[mfsched.Start](s)
 	}
 	s.answerStart(again[0], mfsched.ResultDone, "")
-	// Then it tells that the task had done its work in time.
+	// Then it reports that the task was completed before that.
 	s.step(mfsched.PollAnswered{Worker: "w-1", Sent: s.now, Report: mothferry.LookReport{
 		Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 		Ended: []mothferry.EndedTask{{Number: 1, Task: name, Run: 1, Cause: mothferry.EndDone}},
@@ -69,8 +69,8 @@
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// A worker's room shrinks while tasks run there: what it tells of itself counts from then
-// on, and nothing is started there that does not fit any more.
+// A worker's capacity shrinks while tasks run there. The new capacity must count from then on, so
+// that no task starts there that no longer fits.
 func TestShrunkWorkerGetsNoTaskThatDoesNotFit(t *testing.T) {
 	s, name := runningOn(t, "w")
 	small := worker("w")
@@ -84,19 +84,20 @@
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// An owner must not put more into one commit than the store takes, as when a worker with large jobs ends.
+// Guards against commits that are too large for the store, as when a worker with tasks of large
+// jobs ends.
 func TestLargeJobsTakeSeveralCommits(t *testing.T) {
-	// A third of what a transaction takes, as the journal may move other large jobs in it.
-	const most, base64 = 1 << 20 / 3, 4.0 / 3
+	// A third of what a transaction holds, as the journal may move other large jobs in it.
+	const maxSize, base64 = 1 << 20 / 3, 4.0 / 3
 	s := newScript(t)
 	for number := range 60 {
-		at := mfjob.StepProgress{}
+		progress := mfjob.StepProgress{}
 		for range mfjob.MaxTasks {
-			at.Tasks = append(at.Tasks, mfjob.TaskProgress{Run: 1, Worker: "i-00000000", Checkpoint: "0123456789abcdef"})
+			progress.Tasks = append(progress.Tasks, mfjob.TaskProgress{Run: 1, Worker: "i-00000000", Checkpoint: "0123456789abcdef"})
 		}
 		s.step(mfsched.JobFound{
 			Job: jobID(fmt.Sprintf("%016x", number)), Submission: submission(s.now, mfjob.MaxTasks),
-			Progress: &mfjob.Progress{State: mfjob.StateRunning, Occurrences: [][]mfjob.StepProgress{{at}}},
+			Progress: &mfjob.Progress{State: mfjob.StateRunning, Occurrences: [][]mfjob.StepProgress{{progress}}},
 		})
 	}
 	s.step(mfsched.IncarnationEnded{Worker: "i-00000000", Cause: mfsched.IncarnationEndPlanned})
@@ -110,7 +111,7 @@
 				size += len(mfjob.EncodeProgress(p))
 				stored[id] = true
 			}
-			assert.Assert(t, float64(size)*base64 < most, "%d bytes of %d jobs", size, len(c.Progress))
+			assert.Assert(t, float64(size)*base64 < maxSize, "%d bytes of %d jobs", size, len(c.Progress))
 			s.step(mfsched.CommitDone{Number: c.Number})
 		}
 	}
--- a/mfsched/copy.go
+++ b/mfsched/copy.go
@@ -7,15 +7,15 @@
 	"mothferry/mfjob"
 )
 
-// A task of a speculative step may have two runs at a time, the second of them its copy. Each
-// has a task of its own for what is known of the run; that of the copy is known by its worker only,
-// never waits, and belongs to the first, which stands in the step.
+// A task of a speculative step may have two runs at a time: the original run and a speculative
+// copy. Each run has its own task value. The copy's is listed at its worker, but not in the step,
+// never waits, and refers to the original task by copyOf.
 //
-// What goes wrong without the number of the newest run: the copy is over, the task is started
-// again under the copy's number, and an order to start the copy that was held back brings a
-// run that nobody knows of.
+// A new run gets a number above those of both runs. If the task were restarted under the number
+// of a copy that has ended, a delayed order to start that copy could start a run that the owner
+// doesn't know of.
 
-// origin returns the task that stands in the step.
+// origin returns the task that is listed in the step.
 func (t *task) origin() *task {
 	if t.copyOf != nil {
 		return t.copyOf
@@ -23,8 +23,8 @@
 	return t
 }
 
-// lookUpAt returns what is known of a task's run on a worker: the copy's if that is there, and
-// else the task that stands in the step; nil if there is no such task.
+// lookUpAt returns the task value of a run on a worker: that of the copy if the copy is there,
+// else the one listed in the step, or nil if there is no such task.
 func (s *State) lookUpAt(n mothferry.TaskName, id mothferry.WorkerID) *task {
 	t := s.lookUp(n)
 	if t != nil && t.copyTask != nil && t.copyTask.worker.at.Worker == id {
@@ -33,10 +33,10 @@
 	return t
 }
 
-// highestRun returns the highest number that a run of the task was given.
+// highestRun returns the highest number that any run of the task has.
 func (t *task) highestRun() mothferry.RunNumber { return max(t.run, t.highestOtherRun) }
 
-// newCopy returns a copy of a task that is on no worker yet.
+// newCopy returns a copy of a task that isn't assigned to a worker yet.
 func (t *task) newCopy(run mothferry.RunNumber) *task {
 	return &task{
 		name: t.name, job: t.job, step: t.step, phase: phaseDone, run: run,
@@ -44,8 +44,8 @@
 	}
 }
 
-// planCopy binds a copy of a task to a worker. As with any run, the order goes out once that is
-// stored.
+// planCopy assigns a copy of a task to a worker. As with any run, the order is sent once the
+// assignment is stored.
 func (s *State) planCopy(t *task, w *worker) {
 	run := t.highestRun() + 1
 	c := t.newCopy(run)
@@ -56,7 +56,7 @@
 	s.markDirty(t.job)
 }
 
-// restoreCopy brings a copy back that an earlier owner stored.
+// restoreCopy restores a copy that a previous owner stored.
 func (s *State) restoreCopy(t *task, p mfjob.TaskProgress, now time.Time) {
 	c := t.newCopy(p.Copy)
 	s.assign(c, s.workerOrPlaceholder(p.CopyWorker), phaseUnresolved)
@@ -65,7 +65,7 @@
 	t.copies++
 }
 
-// workerOrPlaceholder returns a worker that an earlier owner stored.
+// workerOrPlaceholder returns a worker that a previous owner stored, adding it if it isn't known.
 func (s *State) workerOrPlaceholder(id mothferry.WorkerID) *worker {
 	if w, ok := s.workers[id]; ok {
 		return w
@@ -73,7 +73,7 @@
 	return s.addWorker(id)
 }
 
-// promoteCopy makes the run of a task's copy its only one, as the other one is over.
+// promoteCopy makes the copy's run the only run of a task whose original run has ended.
 func (s *State) promoteCopy(t *task) {
 	c := t.copyTask
 	t.copyTask = nil
@@ -104,8 +104,8 @@
 	s.markDirty(t.job)
 }
 
-// recordCheckpoint takes in the checkpoint that a task's run tells, unless a run whose place it took had
-// done more by its own.
+// recordCheckpoint records the checkpoint that a task's run reported, unless the recorded one is
+// of a replaced run that had done more.
 func (t *task) recordCheckpoint(c mothferry.Checkpoint, percent int) {
 	if c == "" || c == t.checkpoint && t.checkpointPercent > 0 || t.checkpointAhead && percent < t.checkpointPercent {
 		return
@@ -113,7 +113,8 @@
 	t.checkpoint, t.checkpointPercent, t.checkpointAhead = c, percent, false
 }
 
-// logCopyEnd logs which of a task's two runs did its work, on a worker, and which is stopped.
+// logCopyEnd logs which of a task's two runs is stopped because the one on a worker completed the
+// task.
 func (s *State) logCopyEnd(t *task, w *worker) {
 	c := t.copyTask
 	d := Decision{Message: MessageCopyStopped, Job: t.job.id, Worker: c.worker.at.Worker, Fields: map[string]any{
--- a/mfsched/copy_test.go
+++ b/mfsched/copy_test.go
@@ -15,9 +15,9 @@
 
 const victim mothferry.JobID = "victim"
 
-// newPoolWithCopy returns a pool in which the one task of a job runs on slow worker w-0, and a copy of it
-// on another worker.
-func newPoolWithCopy(t *testing.T) (p *simPool, first, second mfsched.Start) {
+// newPoolWithCopy returns a pool in which the only task of the victim job runs on the slow worker
+// w-0 and a copy of it on another worker, with the starts of both runs.
+func newPoolWithCopy(t *testing.T) (p *simPool, original, copied mfsched.Start) {
 	t.Helper()
 	p = newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -29,24 +29,24 @@
 	p.speed["w-0"] = 0.1
 	for range 20 {
 		p.submitSteadily(100 * time.Millisecond)
-		var of []mfsched.Start
+		var starts []mfsched.Start
 		for _, c := range p.starts {
 			if c.Order.Task.Job == victim {
-				of = append(of, c)
+				starts = append(starts, c)
 			}
 		}
-		if len(of) == 2 {
-			assert.Equal(t, of[0].At.Worker, mothferry.WorkerID("w-0"))
-			assert.Assert(t, of[1].At.Worker != of[0].At.Worker)
-			assert.Assert(t, of[1].Order.Run > of[0].Order.Run)
-			return p, of[0], of[1]
+		if len(starts) == 2 {
+			assert.Equal(t, starts[0].At.Worker, mothferry.WorkerID("w-0"))
+			assert.Assert(t, starts[1].At.Worker != starts[0].At.Worker)
+			assert.Assert(t, starts[1].Order.Run > starts[0].Order.Run)
+			return p, starts[0], starts[1]
 		}
 	}
 	t.Fatal("the task has no copy")
-	return nil, first, second
+	return nil, original, copied
 }
 
-// allButFirst returns all workers but w-0.
+// allButFirst returns all workers except w-0.
 func (p *simPool) allButFirst() map[mothferry.WorkerID]bool {
 	others := map[mothferry.WorkerID]bool{}
 	for _, id := range p.workers[1:] {
@@ -61,7 +61,7 @@
 	return s
 }
 
-// countStarts counts the starts of the job, stopsAt the orders to stop its run at a worker.
+// countStarts counts the start orders of the job.
 func (p *simPool) countStarts(job mothferry.JobID) int {
 	count := 0
 	for _, c := range p.starts {
@@ -72,6 +72,7 @@
 	return count
 }
 
+// countStops counts the orders to stop the job's runs on a worker.
 func (p *simPool) countStops(job mothferry.JobID, id mothferry.WorkerID) int {
 	count := 0
 	for _, c := range p.stops {
@@ -82,7 +83,7 @@
 	return count
 }
 
-// runs reports whether a run of the job is on a worker.
+// hasRun reports whether a run of the job is on a worker.
 func (p *simPool) hasRun(job mothferry.JobID, id mothferry.WorkerID) bool {
 	for _, r := range p.runs[id] {
 		if r.task.Job == job {
@@ -97,63 +98,64 @@
 }
 
 func TestCopyThatFinishesFirstCompletesTask(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	stored := p.committed[victim].Occurrences[0][0].Tasks[0]
-	assert.Equal(t, stored.CopyWorker, second.At.Worker, "the copy is not stored")
-	assert.Equal(t, stored.Current, first.Order.Run)
+	assert.Equal(t, stored.CopyWorker, copied.At.Worker, "the copy is not stored")
+	assert.Equal(t, stored.Current, original.Order.Run)
 	p.simulate(time.Second)
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
-	assert.Assert(t, !p.hasRun(victim, first.At.Worker), "the other run goes on")
+	assert.Assert(t, !p.hasRun(victim, original.At.Worker), "the other run is not stopped")
 	assert.Equal(t, p.countLogged(mfsched.MessageCopyFinished), 1)
 	assert.Equal(t, p.countStarts(victim), 2)
 }
 
-// Guards against a copy that goes on, or is started again, after the first run has done the work.
+// Guards against a copy that continues or is started again after the original run has completed
+// the task.
 func TestCopyIsStoppedWhenFirstRunFinishes(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
-	p.speed[first.At.Worker], p.speed[second.At.Worker] = 10, 0.1
+	p, original, copied := newPoolWithCopy(t)
+	p.speed[original.At.Worker], p.speed[copied.At.Worker] = 10, 0.1
 	p.simulate(time.Second)
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
-	assert.Assert(t, !p.hasRun(victim, second.At.Worker))
+	assert.Assert(t, !p.hasRun(victim, copied.At.Worker))
 	assert.Equal(t, p.countLogged(mfsched.MessageCopyStopped), 1)
 	assert.Equal(t, p.countStarts(victim), 2)
 }
 
-// Guards against room that is given away while a run that was told to stop is still there, and
-// against a stop that is lost for good.
+// Guards against a lost stop order that isn't sent again, and against reuse of the other run's
+// capacity while that run may still be there.
 func TestStopOfOtherRunIsRetried(t *testing.T) {
-	p, first, _ := newPoolWithCopy(t)
-	p.dropStops[first.At.Worker] = true
-	p.speed[first.At.Worker] = 0
+	p, original, _ := newPoolWithCopy(t)
+	p.dropStops[original.At.Worker] = true
+	p.speed[original.At.Worker] = 0
 	p.simulate(2 * time.Second)
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
-	assert.Assert(t, p.hasRun(victim, first.At.Worker))
-	assert.Assert(t, p.countStops(victim, first.At.Worker) > 1)
-	p.dropStops[first.At.Worker] = false
+	assert.Assert(t, p.hasRun(victim, original.At.Worker))
+	assert.Assert(t, p.countStops(victim, original.At.Worker) > 1)
+	p.dropStops[original.At.Worker] = false
 	p.simulate(2 * time.Second)
-	assert.Assert(t, !p.hasRun(victim, first.At.Worker))
+	assert.Assert(t, !p.hasRun(victim, original.At.Worker))
 }
 
-// Guards against a third run beside the copy when the first run's worker has ended, and against
-// a task that is lost with it.
+// Guards against a third run next to the copy, or a lost task, when the original run's worker
+// crashes.
 func TestCopyContinuesAfterFirstWorkerCrash(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
-	p.runs[first.At.Worker] = nil
-	p.step(mfsched.IncarnationEnded{Worker: first.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p, original, copied := newPoolWithCopy(t)
+	p.runs[original.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: original.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
 	p.simulate(20 * time.Millisecond)
 	stored := p.committed[victim].Occurrences[0][0].Tasks[0]
-	assert.Equal(t, stored.Worker, second.At.Worker)
+	assert.Equal(t, stored.Worker, copied.At.Worker)
 	assert.Equal(t, stored.CopyWorker, mothferry.WorkerID(""))
 	p.simulate(time.Second)
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
 	assert.Equal(t, p.countStarts(victim), 2)
 }
 
-// Guards against a later run under the number of a copy that is over: an order to start the copy
-// may still be carried out.
+// Guards against a new run under the number of a copy that has ended: a delayed order to start
+// that copy may still be carried out.
 func TestRunAfterCopyGetsNewNumber(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
-	for _, id := range []mothferry.WorkerID{second.At.Worker, first.At.Worker} {
+	p, original, copied := newPoolWithCopy(t)
+	for _, id := range []mothferry.WorkerID{copied.At.Worker, original.At.Worker} {
 		for _, r := range p.runs[id] {
 			if r.task.Job == victim {
 				p.stopRun(mfsched.Stop{At: mothferry.WorkerAddress{Worker: id}, Task: r.task, Run: r.run})
@@ -168,18 +170,18 @@
 			last = c
 		}
 	}
-	assert.Equal(t, last.Order.Run, second.Order.Run+1)
+	assert.Equal(t, last.Order.Run, copied.Order.Run+1)
 }
 
-// Guards against a copy that runs on after its job was cancelled.
+// Guards against a copy that keeps running after its job was cancelled.
 func TestCancelStopsBothRuns(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	p.step(mfsched.CancelRequested{Job: victim})
 	p.simulate(200 * time.Millisecond)
-	assert.Assert(t, !p.hasRun(victim, first.At.Worker) && !p.hasRun(victim, second.At.Worker))
+	assert.Assert(t, !p.hasRun(victim, original.At.Worker) && !p.hasRun(victim, copied.At.Worker))
 }
 
-// replaceOwner replaces the owner by one that knows what was stored of the victim.
+// replaceOwner replaces the owner by a new one that loads the stored progress of the victim.
 func (p *simPool) replaceOwner() {
 	progress, now := p.committed[victim], p.now
 	p.script = newScript(p.t)
@@ -195,33 +197,33 @@
 	}
 }
 
-// Guards against an owner killed between the start of a copy and the stop of one of the runs:
-// its successor knows both, starts no third one, and ends the one that is left.
+// An owner is killed between the start of a copy and the stop of one of the runs. The new owner
+// must restore both runs, start no third one, and stop the one that is left.
 func TestSuccessorRestoresBothRuns(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	p.replaceOwner()
 	p.simulate(1500 * time.Millisecond)
 	assert.Equal(t, p.countStarts(victim), 0)
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
-	assert.Assert(t, p.countStops(victim, first.At.Worker) > 0)
-	assert.Assert(t, !p.hasRun(victim, first.At.Worker) && !p.hasRun(victim, second.At.Worker))
+	assert.Assert(t, p.countStops(victim, original.At.Worker) > 0)
+	assert.Assert(t, !p.hasRun(victim, original.At.Worker) && !p.hasRun(victim, copied.At.Worker))
 }
 
-// Guards against a successor that takes the number of a copy that is over for that of the run that
-// is left, and starts another one beside it.
+// Guards against a new owner that takes the number of an ended copy for that of the remaining run
+// and starts another run next to it.
 func TestSuccessorRestoresRemainingRun(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	p.step(mfsched.WorkersToEvacuate{Workers: p.allButFirst()})
-	p.stopRun(mfsched.Stop{At: second.At, Task: second.Order.Task, Run: second.Order.Run})
+	p.stopRun(mfsched.Stop{At: copied.At, Task: copied.Order.Task, Run: copied.Order.Run})
 	p.simulate(100 * time.Millisecond)
 	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].CopyWorker, mothferry.WorkerID(""))
 	p.replaceOwner()
 	p.simulate(300 * time.Millisecond)
-	assert.Assert(t, p.hasRun(victim, first.At.Worker))
-	assert.Equal(t, p.countStarts(victim)+p.countStops(victim, first.At.Worker), 0)
+	assert.Assert(t, p.hasRun(victim, original.At.Worker))
+	assert.Equal(t, p.countStarts(victim)+p.countStops(victim, original.At.Worker), 0)
 }
 
-// Guards against a copy that takes its account over its limit.
+// Guards against a copy that takes its account over the limit.
 func TestCopyRespectsAccountLimit(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.step(mfsched.ConfigChanged{
@@ -256,8 +258,8 @@
 	assert.Assert(t, p.hasJobState(victim, mfjob.StateCompleted))
 }
 
-// Guards against records that an older program refuses, of jobs that have no copy: a shard with one
-// of them can't go back to such a program while versions change.
+// Guards against records in a newer format for jobs that have no copy. An older program refuses
+// them, so that a shard with one of them can't return to it during a rolling upgrade.
 func TestOnlyJobsWithCopyUseNewerFormat(t *testing.T) {
 	format := func(p mfjob.Progress) int {
 		var stored struct {
@@ -278,10 +280,10 @@
 	}
 }
 
-// Guards against a record in a newer format for as long as its job lasts, once one of its steps
-// had a copy.
+// Guards against a record that stays in the newer format until its job ends because one of its
+// steps once had a copy.
 func TestJobUsesOlderFormatAfterCopyEnds(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	format := func() int {
 		var stored struct {
 			Format int `json:"format"`
@@ -290,14 +292,14 @@
 		return stored.Format
 	}
 	assert.Equal(t, format(), 4)
-	p.runs[first.At.Worker] = nil
-	p.step(mfsched.IncarnationEnded{Worker: first.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p.runs[original.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: original.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
 	p.simulate(20 * time.Millisecond)
-	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].Worker, second.At.Worker)
+	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].Worker, copied.At.Worker)
 	assert.Assert(t, format() < 4)
 }
 
-// runOf returns the run of the job on a worker.
+// runOf returns the job's run on a worker.
 func (p *simPool) runOf(job mothferry.JobID, id mothferry.WorkerID) *simRun {
 	p.t.Helper()
 	for _, r := range p.runs[id] {
@@ -309,46 +311,46 @@
 	return nil
 }
 
-// Guards against work that is done twice, as a copy that has done less than the first run outlives it and
-// its older checkpoint takes the place of the newer one.
+// Guards against repeated work: a copy that has done less than the original run outlives it, and
+// its older checkpoint replaces the newer one.
 func TestCopyDoesNotReplaceNewerCheckpoint(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
+	p, original, copied := newPoolWithCopy(t)
 	checkpoint := func() mothferry.Checkpoint { return p.committed[victim].Occurrences[0][0].Tasks[0].Checkpoint }
-	here, there := p.runOf(victim, first.At.Worker), p.runOf(victim, second.At.Worker)
-	p.speed[first.At.Worker], p.speed[second.At.Worker] = 0, 0
-	here.done, here.checkpoint = 0.6, "newer"
+	originalRun, copyRun := p.runOf(victim, original.At.Worker), p.runOf(victim, copied.At.Worker)
+	p.speed[original.At.Worker], p.speed[copied.At.Worker] = 0, 0
+	originalRun.done, originalRun.checkpoint = 0.6, "newer"
 	p.simulate(100 * time.Millisecond)
-	there.done, there.checkpoint = 0.2, "older"
+	copyRun.done, copyRun.checkpoint = 0.2, "older"
 	p.simulate(100 * time.Millisecond)
-	p.runs[first.At.Worker] = nil
-	p.step(mfsched.IncarnationEnded{Worker: first.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p.runs[original.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: original.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
 	p.simulate(20 * time.Millisecond)
-	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].Worker, second.At.Worker)
+	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].Worker, copied.At.Worker)
 	assert.Equal(t, checkpoint(), mothferry.Checkpoint("newer"))
-	there.done = 0.3
+	copyRun.done = 0.3
 	p.simulate(100 * time.Millisecond)
-	p.step(mfsched.IncarnationEnded{Worker: second.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
-	p.runs[second.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: copied.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p.runs[copied.At.Worker] = nil
 	p.simulate(20 * time.Millisecond)
 	assert.Equal(t, checkpoint(), mothferry.Checkpoint("newer"))
 }
 
-// Guards against a checkpoint of a copy that is passed over, though the copy has done more by then than
-// the run that it took the place of.
+// Guards against a copy's checkpoint that is ignored although the copy has done more by then than
+// the run that it replaced.
 func TestNewerCheckpointOfCopyIsKept(t *testing.T) {
-	p, first, second := newPoolWithCopy(t)
-	here, there := p.runOf(victim, first.At.Worker), p.runOf(victim, second.At.Worker)
-	p.speed[first.At.Worker], p.speed[second.At.Worker] = 0, 0
-	here.done, here.checkpoint = 0.3, "former"
-	there.done, there.checkpoint = 0.2, "older"
+	p, original, copied := newPoolWithCopy(t)
+	originalRun, copyRun := p.runOf(victim, original.At.Worker), p.runOf(victim, copied.At.Worker)
+	p.speed[original.At.Worker], p.speed[copied.At.Worker] = 0, 0
+	originalRun.done, originalRun.checkpoint = 0.3, "former"
+	copyRun.done, copyRun.checkpoint = 0.2, "older"
 	p.simulate(100 * time.Millisecond)
-	p.runs[first.At.Worker] = nil
-	p.step(mfsched.IncarnationEnded{Worker: first.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p.runs[original.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: original.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
 	p.simulate(20 * time.Millisecond)
-	there.done, there.checkpoint = 0.5, "newest"
+	copyRun.done, copyRun.checkpoint = 0.5, "newest"
 	p.simulate(100 * time.Millisecond)
-	p.step(mfsched.IncarnationEnded{Worker: second.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
-	p.runs[second.At.Worker] = nil
+	p.step(mfsched.IncarnationEnded{Worker: copied.At.Worker, ListedAt: p.now, Cause: mfsched.IncarnationCrashed})
+	p.runs[copied.At.Worker] = nil
 	p.simulate(20 * time.Millisecond)
 	assert.Equal(t, p.committed[victim].Occurrences[0][0].Tasks[0].Checkpoint, mothferry.Checkpoint("newest"))
 }
--- a/mfsched/demand.go
+++ b/mfsched/demand.go
@@ -20,7 +20,7 @@
 	return mfdemand.AmountOf(of.Need).Times(of.Estimate.Seconds())
 }
 
-// Demands returns what each service is asked for.
+// Demands returns the demand for each service.
 func (s *State) Demands(now time.Time) map[mothferry.ServiceID]mfdemand.Demand {
 	demands := map[mothferry.ServiceID]mfdemand.Demand{}
 	for _, q := range s.queues {
@@ -38,9 +38,9 @@
 			if o.scheduledAt.After(now) {
 				break
 			}
-			prospect, _ := s.classify(j, o, q, now)
+			class, _ := s.classify(j, o, q, now)
 			for _, p := range o.steps {
-				addStepDemand(&d, o, p, prospect, startable(j.submission.Account))
+				addStepDemand(&d, o, p, class, startable(j.submission.Account))
 			}
 		}
 		demands[q.Service] = d
@@ -48,8 +48,8 @@
 	return demands
 }
 
-// startable returns which part of an account's waiting work its limit lets start: the rest
-// asks for no machine, as none could run it.
+// startable returns a function for the fraction of an account's waiting work that its limit lets
+// start. The rest is no demand for machines, as none could run it.
 func (s *State) startable(now time.Time) func(id mothferry.AccountID) float64 {
 	if !s.sharesEnabled() {
 		return func(mothferry.AccountID) float64 { return 1 }
@@ -74,25 +74,26 @@
 		if !ok {
 			return 1
 		}
-		left, wanted := a.Limit.Sub(a.used), waiting[id]
-		return min(coveredFraction(left.Cores, wanted.Cores, a.Limit.Cores), coveredFraction(left.Memory, wanted.Memory, a.Limit.Memory))
+		available, wanted := a.Limit.Sub(a.used), waiting[id]
+		return min(coveredFraction(available.Cores, wanted.Cores, a.Limit.Cores), coveredFraction(available.Memory, wanted.Memory, a.Limit.Memory))
 	}
 }
 
-// coveredFraction returns which part of what is wanted is left of a limit, of which zero is none.
-func coveredFraction[N ~int64](left, wanted, most N) float64 {
-	if most == 0 || wanted <= 0 {
+// coveredFraction returns the fraction of what is wanted that is left of a limit; a limit of zero
+// bounds nothing.
+func coveredFraction[N ~int64](available, wanted, limit N) float64 {
+	if limit == 0 || wanted <= 0 {
 		return 1
 	}
-	return max(0, min(1, float64(left)/float64(wanted)))
+	return max(0, min(1, float64(available)/float64(wanted)))
 }
 
-// addStepDemand counts what a step asks for, of whose waiting work a part may start.
-func addStepDemand(d *mfdemand.Demand, o *occurrence, p *step, prospect deadlineClass, startable float64) {
-	room := mfdemand.AmountOf(p.spec.Room())
+// addStepDemand adds a step's demand, given the fraction of its waiting work that may start.
+func addStepDemand(d *mfdemand.Demand, o *occurrence, p *step, class deadlineClass, startable float64) {
+	capacity := mfdemand.AmountOf(p.spec.Room())
 	switch {
 	case p.spec.Lasting:
-		d.Lasting = d.Lasting.Add(room.Times(float64(p.remaining)))
+		d.Lasting = d.Lasting.Add(capacity.Times(float64(p.remaining)))
 		if p.spec.PerWorker > 0 {
 			d.MinWorkers = max(d.MinWorkers, (p.spec.Count+p.spec.PerWorker-1)/p.spec.PerWorker)
 		}
@@ -100,19 +101,19 @@
 	case p.remaining == 0:
 		return
 	}
-	d.Running = d.Running.Add(room.Times(float64(p.remaining - p.waiting)))
-	if prospect == classTooLate || p.waiting == 0 || !dependenciesDone(o, p) {
+	d.Running = d.Running.Add(capacity.Times(float64(p.remaining - p.waiting)))
+	if class == classTooLate || p.waiting == 0 || !dependenciesDone(o, p) {
 		return
 	}
-	may := startable * float64(p.waiting)
-	work, ready := taskWork(p.spec).Times(may), room.Times(may)
+	tasks := startable * float64(p.waiting)
+	work, ready := taskWork(p.spec).Times(tasks), capacity.Times(tasks)
 	d.ReadyWork, d.Ready = d.ReadyWork.Add(work), d.Ready.Add(ready)
-	if prospect == classOnTime {
+	if class == classOnTime {
 		d.OnTimeWork, d.OnTimeReady = d.OnTimeWork.Add(work), d.OnTimeReady.Add(ready)
 	}
 }
 
-// recordArrival counts a job that came.
+// recordArrival records the work of a job that has arrived.
 func (s *State) recordArrival(j *job, now time.Time) {
 	if j.submission.Lasts() {
 		return
--- a/mfsched/fair_share.go
+++ b/mfsched/fair_share.go
@@ -9,22 +9,22 @@
 	"mothferry/mfshare"
 )
 
-// flowUsage is what the tasks of one account in one service have and want.
+// flowUsage is the usage and demand of one account's tasks in one service.
 type flowUsage struct {
 	mfshare.Flow
-	// used is what its tasks take that are, or may be, at a worker.
+	// used is what its tasks need that are, or may be, on a worker.
 	used mothferry.Resources
-	// wanted is what its tasks ask for that could start, due the cores that are its part,
-	// both as of the round of placing under way.
+	// wanted is the demand of its tasks that could start, fairShare its fair share in cores, both
+	// as of the current placement round.
 	wanted    mfdemand.Amount
 	fairShare float64
-	// credit is what it left of its part lately, in core-seconds.
+	// credit is what it recently left unused of its fair share, in core-seconds.
 	credit float64
 }
 
-// creditWindow is over how long a flow may save up what it did not use. Jobs come at random:
-// without it an account that keeps to its part would wait for its part whenever some of its
-// jobs come together.
+// creditWindow is how long a flow may accrue credit for an unused fair share. Jobs arrive at
+// random: without credit, an account that keeps to its fair share would wait whenever several of
+// its jobs arrive together.
 const creditWindow = 3 * time.Second
 
 // flowOf returns the flow of an account's work in a service.
@@ -38,10 +38,9 @@
 	return l
 }
 
-// updateFairShares works out which part of each service's room is due to each flow in this round.
-//
-// The load it answers: more work than room, from accounts that ask for different parts.
-// By urgency alone the room goes to whoever sent the most.
+// updateFairShares computes each flow's fair share of each service's capacity for this round. If
+// there is more work than capacity, placement by urgency alone would give the capacity to the
+// accounts that submitted the most.
 func (s *State) updateFairShares(byService map[mothferry.ServiceID][]candidate, usable map[mothferry.ServiceID][]*worker, now time.Time) {
 	for _, l := range s.flows {
 		l.wanted, l.fairShare = mfdemand.Amount{}, 0
@@ -52,63 +51,65 @@
 		}
 	}
 	var claims []mfshare.Claim
-	mixes := map[mothferry.ServiceID]mfdemand.Amount{}
+	demands := map[mothferry.ServiceID]mfdemand.Amount{}
 	limits, byAccount := map[mothferry.AccountID]float64{}, map[mothferry.AccountID]mfdemand.Amount{}
 	for _, l := range s.activeFlows() {
-		flow, asks := l.Flow, l.demand()
-		mixes[flow.Service] = mixes[flow.Service].Add(asks)
-		byAccount[flow.Account] = byAccount[flow.Account].Add(asks)
-		claims = append(claims, mfshare.Claim{Flow: flow, Weight: s.weightOf(flow.Account), Cores: asks.Cores})
+		flow, demand := l.Flow, l.demand()
+		demands[flow.Service] = demands[flow.Service].Add(demand)
+		byAccount[flow.Account] = byAccount[flow.Account].Add(demand)
+		claims = append(claims, mfshare.Claim{Flow: flow, Weight: s.weightOf(flow.Account), Cores: demand.Cores})
 	}
-	for id, mix := range byAccount {
+	for id, demand := range byAccount {
 		if o := s.entitlement(id, mfdemand.Amount{}); o.Limited {
-			limits[id] = o.Limit.UsableCores(mix)
+			limits[id] = o.Limit.UsableCores(demand)
 		}
 	}
-	rooms := map[mothferry.ServiceID]float64{}
+	capacities := map[mothferry.ServiceID]float64{}
 	for service, workers := range usable {
 		sum := mfdemand.Amount{}
 		for _, w := range workers {
 			sum = sum.Add(mfdemand.AmountOf(w.Capacity))
 		}
-		rooms[service] = mfshare.PackingEfficiency * sum.UsableCores(mixes[service])
+		capacities[service] = mfshare.PackingEfficiency * sum.UsableCores(demands[service])
 	}
-	for flow, due := range mfshare.Divide(rooms, claims, limits) {
-		s.flows[flow].fairShare = due
+	for flow, share := range mfshare.Divide(capacities, claims, limits) {
+		s.flows[flow].fairShare = share
 	}
-	s.updateCredits(rooms, claims, now)
+	s.updateCredits(capacities, claims, now)
 }
 
-// updateCredits counts what flows left of their parts, or took beyond them, since the last round.
-func (s *State) updateCredits(rooms map[mothferry.ServiceID]float64, claims []mfshare.Claim, now time.Time) {
-	passed := min(now.Sub(s.creditUpdatedAt), creditWindow).Seconds()
+// updateCredits adds to the flows' credits what they left unused of their fair shares since the
+// last round, and subtracts what they used above them.
+func (s *State) updateCredits(capacities map[mothferry.ServiceID]float64, claims []mfshare.Claim, now time.Time) {
+	seconds := min(now.Sub(s.creditUpdatedAt), creditWindow).Seconds()
 	s.creditUpdatedAt = now
-	weights, asking := map[mothferry.ServiceID]float64{}, map[mfshare.Flow]bool{}
+	weights, active := map[mothferry.ServiceID]float64{}, map[mfshare.Flow]bool{}
 	for _, c := range claims {
 		weights[c.Service] += c.Weight
-		asking[c.Flow] = true
+		active[c.Flow] = true
 	}
 	for flow, l := range s.flows {
-		if !asking[flow] {
-			// Its part is known once it asks for some.
+		if !active[flow] {
+			// The cap follows from its fair share, which is known only once it has demand.
 			l.credit = fullCredit
 		}
 	}
 	for _, c := range claims {
 		l := s.flows[c.Flow]
-		owed := max(l.fairShare, rooms[c.Service]*c.Weight/weights[c.Service])
-		l.credit += (owed - mfdemand.AmountOf(l.used).Cores) * passed
-		l.credit = max(0, min(l.credit, owed*creditWindow.Seconds()))
+		entitled := max(l.fairShare, capacities[c.Service]*c.Weight/weights[c.Service])
+		l.credit += (entitled - mfdemand.AmountOf(l.used).Cores) * seconds
+		l.credit = max(0, min(l.credit, entitled*creditWindow.Seconds()))
 	}
 }
 
-// fullCredit is that of a flow that asked for nothing: all that it may save up.
+// fullCredit is the credit of a flow without demand. It exceeds every cap, so that such a flow has
+// all the credit that it may accrue.
 const fullCredit = 1e12
 
-// demand is what a flow's tasks have and want.
+// demand returns what a flow's tasks use and want.
 func (l *flowUsage) demand() mfdemand.Amount { return mfdemand.AmountOf(l.used).Add(l.wanted) }
 
-// activeFlows returns the flows that have or want anything, in order.
+// activeFlows returns the flows with demand, in order.
 func (s *State) activeFlows() []*flowUsage {
 	var out []*flowUsage
 	for _, l := range s.flows {
@@ -127,7 +128,7 @@
 	return mfshare.DefaultWeight
 }
 
-// addWanted adds what a candidate asks for.
+// addWanted adds the demand of a candidate's ready tasks.
 func (l *flowUsage) addWanted(c *candidate) {
 	if c.class == classTooLate {
 		return
@@ -137,8 +138,8 @@
 	}
 }
 
-// withinFairShare reports whether a candidate goes before those whose flows have their part:
-// its own flow has not, and it can be in time.
+// withinFairShare reports whether a candidate precedes those whose flows use their fair share: its
+// own flow uses less, and it can meet its objective. Lasting jobs always precede them.
 func (c *candidate) withinFairShare() bool {
 	switch c.class {
 	case classLasting:
@@ -150,8 +151,8 @@
 	}
 }
 
-// hasCredit reports whether a candidate goes before others whose flows have their part: its
-// own flow left some of its part lately, and it can be in time.
+// hasCredit reports whether a candidate precedes others whose flows use their fair share: its own
+// flow has credit, and it can meet its objective.
 func (c *candidate) hasCredit() bool {
 	return (c.class == classOnTime || c.class == classOverRate) && c.job.flow.credit > 0
 }
--- a/mfsched/forecast_test.go
+++ b/mfsched/forecast_test.go
@@ -13,8 +13,8 @@
 	"mothferry/mfsched"
 )
 
-// simulateArrivals has jobs of one core-second arrive at random at a changing rate and
-// returns the demand each 100 ms.
+// simulateArrivals submits jobs of one core-second at random times and at a changing rate, and
+// returns the demand every 100 ms.
 func simulateArrivals(t *testing.T, d time.Duration, rate func(at time.Duration) float64) map[time.Duration]mfdemand.Demand {
 	t.Helper()
 	s := newScript(t)
@@ -37,21 +37,21 @@
 	return out
 }
 
-// The demand rises evenly by 40 cores a second: what is asked for now is as much
-// as comes three seconds later, where a rate of what came is half a second late.
+// The demand rises steadily by 40 cores a second. The forecast must be as high as the demand three
+// seconds later, whereas the measured arrival rate lags behind by half a second.
 func TestRisingDemandIsForecast(t *testing.T) {
 	demands := simulateArrivals(t, 6*time.Second, func(at time.Duration) float64 { return 40 * at.Seconds() })
-	late, off := 0.0, 0.0
+	lag, forecastError := 0.0, 0.0
 	for at := 3 * time.Second; at < 6*time.Second; at += 100 * time.Millisecond {
-		late += (demands[at].Arriving.Cores - 40*at.Seconds()) / 30
-		off += (demands[at].Forecast.Cores - 40*(at.Seconds()+3)) / 30
+		lag += (demands[at].Arriving.Cores - 40*at.Seconds()) / 30
+		forecastError += (demands[at].Forecast.Cores - 40*(at.Seconds()+3)) / 30
 	}
-	assert.Assert(t, late < -10, "%.1f", late)
-	assert.Assert(t, off > -50 && off < 30, "%.1f", off)
+	assert.Assert(t, lag < -10, "%.1f", lag)
+	assert.Assert(t, forecastError > -50 && forecastError < 30, "%.1f", forecastError)
 }
 
-// Even demand is not taken for a change of it: random arrivals alone raise the
-// forecast by less than a third on average.
+// Steady demand must not be taken for a change: random arrivals alone must raise the forecast by
+// less than a third on average.
 func TestSteadyDemandForecastStaysSteady(t *testing.T) {
 	demands := simulateArrivals(t, 20*time.Second, func(time.Duration) float64 { return 60 })
 	mean := 0.0
@@ -61,7 +61,7 @@
 	assert.Assert(t, mean > 45 && mean < 80, "%.1f", mean)
 }
 
-// After its turn a pool's demand is forecast to be gone, not below nothing.
+// After a pool's demand peak the forecast must fall to about zero, and not below it.
 func TestFallingDemandIsForecast(t *testing.T) {
 	demands := simulateArrivals(t, 8*time.Second, func(at time.Duration) float64 { return 40 * max(0, 4-at.Seconds()) })
 	for at := 4 * time.Second; at < 8*time.Second; at += 100 * time.Millisecond {
--- a/mfsched/gauge.go
+++ b/mfsched/gauge.go
@@ -6,29 +6,29 @@
 	"mothferry"
 )
 
-// Gauge is how full a shard is, for the log and for operators.
+// Gauge is a shard's load, for the log and for operators.
 type Gauge struct {
-	// Live counts jobs that are not over, Dirty those of them whose change is not in
-	// a commit yet.
+	// Live counts jobs that have not finished, Dirty the jobs whose changes are in no commit yet.
 	Live, Dirty int
-	// Pools holds what each service's workers do.
+	// Pools holds the gauges of the services' workers.
 	Pools map[mothferry.ServiceID]PoolGauge
 }
 
-// PoolGauge is how full the workers of a service are.
+// PoolGauge is the load of a service's workers.
 type PoolGauge struct {
-	// Listed counts its workers, Usable those that may get work now.
+	// Listed counts the service's workers, Usable those that may get work now.
 	Listed, Usable int
-	// Cores and Memory are the parts that are asked for of what the usable ones have.
+	// Cores and Memory are the reserved fractions of the usable workers' capacity.
 	Cores, Memory float64
-	// Waiting counts tasks whose turn has come, Running those at a worker.
+	// Waiting counts the ready tasks that wait for a worker, Running those that are, or may be,
+	// on one.
 	Waiting, Running int
 }
 
-// Gauge returns how full the shard is now.
+// Gauge returns the shard's current load.
 func (s *State) Gauge(now time.Time) Gauge {
 	g := Gauge{Live: len(s.live), Dirty: len(s.dirty), Pools: map[mothferry.ServiceID]PoolGauge{}}
-	has, used := map[mothferry.ServiceID]mothferry.Resources{}, map[mothferry.ServiceID]mothferry.Resources{}
+	capacity, used := map[mothferry.ServiceID]mothferry.Resources{}, map[mothferry.ServiceID]mothferry.Resources{}
 	for _, w := range s.sortedWorkers {
 		if !w.listed {
 			continue
@@ -38,7 +38,7 @@
 		p.Running += len(w.tasks)
 		if s.isSchedulable(w, now) {
 			p.Usable++
-			has[w.Service] = has[w.Service].Add(w.Capacity)
+			capacity[w.Service] = capacity[w.Service].Add(w.Capacity)
 			used[w.Service] = used[w.Service].Add(w.used)
 		}
 		g.Pools[w.Service] = p
@@ -50,8 +50,8 @@
 		g.Pools[service] = p
 	}
 	for service, p := range g.Pools {
-		p.Cores = fraction(float64(used[service].Cores), float64(has[service].Cores))
-		p.Memory = fraction(float64(used[service].Memory), float64(has[service].Memory))
+		p.Cores = fraction(float64(used[service].Cores), float64(capacity[service].Cores))
+		p.Memory = fraction(float64(used[service].Memory), float64(capacity[service].Memory))
 		g.Pools[service] = p
 	}
 	return g
--- a/mfsched/load.go
+++ b/mfsched/load.go
@@ -6,32 +6,32 @@
 	"mothferry"
 )
 
-// Load is what one life of a worker runs.
+// Load is the load of one incarnation of a worker.
 type Load struct {
 	Service mothferry.ServiceID
-	// Known says that the worker has told this owner what it runs.
+	// Known says that the worker has reported to this owner what it runs.
 	Known bool
-	// Tasks counts all tasks that are, or may be, there; Lasting those that last.
+	// Tasks counts all tasks that are, or may be, there; Lasting the lasting ones.
 	Tasks   int
 	Lasting int
-	// Failing says that the worker did not answer last.
+	// Failing says that the worker did not answer the last poll.
 	Failing bool
-	// Used is the part of its cores that tasks have asked for, from 0 to 1.
+	// Used is the fraction of its cores that tasks reserve, from 0 to 1.
 	Used float64
-	// Speed is how fast it is known to be against its peers: 1 unless it counts as slow,
-	// zero if nothing is known.
+	// Speed is the worker's speed relative to its peers: 1 unless the worker is degraded, zero
+	// if it is unknown.
 	Speed float64
 }
 
 // Slow reports whether the worker is known to be slower than its peers.
 func (l Load) Slow() bool { return l.Speed > 0 && l.Speed < 1 }
 
-// Compare orders loads by how little is lost if the machine goes.
+// Compare orders loads by the loss if the machine is taken away, the smallest loss first.
 func (l Load) Compare(o Load) int {
 	return cmp.Or(cmp.Compare(l.Lasting, o.Lasting), cmp.Compare(l.Used, o.Used))
 }
 
-// Loads returns what each known life of a worker runs.
+// Loads returns the load of each worker's known incarnation.
 func (s *State) Loads() map[mothferry.WorkerID]Load {
 	loads := map[mothferry.WorkerID]Load{}
 	for id, w := range s.workers {
--- a/mfsched/share_test.go
+++ b/mfsched/share_test.go
@@ -11,7 +11,7 @@
 	"mothferry/mfshare"
 )
 
-// configureTwoAccounts brings a config with two accounts of the same weight, one of them with a limit.
+// configureTwoAccounts applies a config with two accounts of the same weight, one of them limited.
 func (s *script) configureTwoAccounts(hotCores mothferry.Millicores) {
 	s.step(mfsched.ConfigChanged{
 		Queues:   map[mothferry.QueueID]mfsched.Queue{queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 3 * time.Second}},
@@ -19,14 +19,14 @@
 	})
 }
 
-// submitForAccount hands a job of an account in.
+// submitForAccount submits a job of an account.
 func (s *script) submitForAccount(account mothferry.AccountID, id mothferry.JobID, count int) {
 	job := submission(s.now, count)
 	job.Account = account
 	s.step(mfsched.JobFound{Job: id, Submission: job})
 }
 
-// startsByAccount counts orders to start by the account that a job's id begins with.
+// startsByAccount counts start orders by account, given by the first letter of a job's id.
 func startsByAccount(s *script) map[mothferry.AccountID]int {
 	out := map[mothferry.AccountID]int{}
 	for _, o := range takeCommands[mfsched.Start](s) {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// Guarded against: an account that came first with more than the room takes all of it.
+// Guards against an account that gets all capacity because it submitted first.
 func TestCapacityIsDividedAmongAccounts(t *testing.T) {
 	s := newScript(t)
 	s.configureTwoAccounts(0)
@@ -56,7 +56,7 @@
 	assert.DeepEqual(t, startsByAccount(s), map[mothferry.AccountID]int{"hot": 8, "calm": 8})
 }
 
-// Guarded against: room stays idle because the account that could use it has its part.
+// Guards against idle capacity because the only account that could use it has its fair share.
 func TestUnusedShareIsGivenToOthers(t *testing.T) {
 	s := newScript(t)
 	s.configureTwoAccounts(0)
@@ -70,7 +70,7 @@
 	assert.DeepEqual(t, startsByAccount(s), map[mothferry.AccountID]int{"hot": 14, "calm": 2})
 }
 
-// Guarded against: machines are asked for by work that its account's limit keeps waiting.
+// Guards against demand for machines by work that waits because of its account's limit.
 func TestWorkBeyondLimitRequestsNoMachines(t *testing.T) {
 	s := newScript(t)
 	s.configureTwoAccounts(4000)
@@ -86,7 +86,7 @@
 	assert.Equal(t, s.state.Demands(s.now)[service].Ready.Cores, 36.0)
 }
 
-// Guarded against: shares act where the config names no accounts, or where they are switched off.
+// Guards against shares that apply although the config has no accounts or the feature is off.
 func TestSharesRequireAccounts(t *testing.T) {
 	s := newScript(t)
 	s.step(mfsched.JobsLoaded{})
@@ -98,24 +98,24 @@
 	assert.Assert(t, s.state.Allocations(s.now) == nil)
 }
 
-// Guarded against: lasting tasks count as a part of its limit that an account can still use.
+// Guards against lasting tasks whose usage counts as an unused part of their account's limit.
 func TestLastingTasksCountAgainstLimit(t *testing.T) {
 	s := newScript(t)
 	s.configureTwoAccounts(4000)
 	s.step(mfsched.JobsLoaded{})
 	s.addReadyWorker("w")
-	lasts := submission(s.now, 3)
-	lasts.Account, lasts.Steps[0].Lasting = "hot", true
-	s.step(mfsched.JobFound{Job: "h-lasts", Submission: lasts})
+	lasting := submission(s.now, 3)
+	lasting.Account, lasting.Steps[0].Lasting = "hot", true
+	s.step(mfsched.JobFound{Job: "h-lasts", Submission: lasting})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 3)
 	s.submitForAccount("hot", "h", 40)
-	e := s.state.Allocations(s.now)[mfshare.Flow{Service: service, Account: "hot"}]
-	assert.Equal(t, e.Rate, 1.0)
-	assert.Assert(t, e.AtLimit)
+	share := s.state.Allocations(s.now)[mfshare.Flow{Service: service, Account: "hot"}]
+	assert.Equal(t, share.Rate, 1.0)
+	assert.Assert(t, share.AtLimit)
 }
 
-// Guarded against: operators count a job under another end than its caller saw.
+// Guards against operators' counts of a job under another outcome than its caller saw.
 func TestEndsAreCountedByObjective(t *testing.T) {
 	s := newScript(t)
 	s.configureTwoAccounts(0)
--- a/mfsched/speed.go
+++ b/mfsched/speed.go
@@ -10,34 +10,36 @@
 	"mothferry/mfstraggler"
 )
 
-// classifyInterval is how often workers' speeds are judged: some looks, and short beside a task.
+// classifyInterval is how often workers' speeds are classified: every few polls, which is short
+// compared with a task.
 const classifyInterval = 100 * time.Millisecond
 
-// baselineExpiryInterval is how often runs are looked through for those that are too old to tell what is usual.
+// baselineExpiryInterval is how often runs that are too old for a baseline are removed.
 const baselineExpiryInterval = time.Minute
 
-// hangDecayTime is for how long a task that hung on a worker counts.
+// hangDecayTime is the decay time of a worker's sum of hung tasks, and for how long a job whose
+// task hung there counts.
 const hangDecayTime = 4 * time.Second
 
-// measuresSpeed reports whether a task's progress tells of its worker's speed. Lasting tasks, those
-// that fill and gangs advance by other measures.
+// measuresSpeed reports whether a task's progress is evidence of its worker's speed. The progress
+// of lasting tasks, best-effort tasks and gangs is measured otherwise.
 func (t *task) measuresSpeed() bool {
-	of := t.step.spec
-	return !of.Lasting && !of.Fills && !of.Gang && of.Estimate > 0
+	spec := t.step.spec
+	return !spec.Lasting && !spec.Fills && !spec.Gang && spec.Estimate > 0
 }
 
-// speedClass returns which tasks are like a task on a worker.
+// speedClass returns the class of a task on a worker.
 func (t *task) speedClass(w *worker) mfspeed.Class {
-	of := t.step.spec
-	return speedClassOf(t.job, t.name.Step, of.Rack != "" && of.Rack != w.Rack)
+	spec := t.step.spec
+	return speedClassOf(t.job, t.name.Step, spec.Rack != "" && spec.Rack != w.Rack)
 }
 
-// runInfo returns what is known of a task's run on a worker beside its progress.
+// runInfo describes a task's run on a worker.
 func (t *task) runInfo(w *worker) mfspeed.RunInfo {
 	return mfspeed.RunInfo{Class: t.speedClass(w), Worker: w.at.Worker, Job: t.job.id, Estimate: t.step.spec.Estimate}
 }
 
-// speedClassOf returns which tasks are like those of a job's step, near their data or remote from it.
+// speedClassOf returns the class of the tasks of a job's step, with data locality or without it.
 func speedClassOf(j *job, step int, remote bool) mfspeed.Class {
 	if image := j.submission.Steps[step].Image; image != "" {
 		return mfspeed.Class{Image: image, Remote: remote}
@@ -45,15 +47,15 @@
 	return mfspeed.Class{Queue: j.submission.Queue, Step: step, Remote: remote}
 }
 
-// recordSpeedStart takes in that a run has just begun, by its worker's clock. One that goes on from a
-// checkpoint begins at a percentage that only a look tells.
+// recordSpeedStart records that a run has just started, by its worker's clock. A run that resumes
+// from a checkpoint starts at a percentage that only a poll reports, so it is left out.
 func (s *State) recordSpeedStart(t *task, at mothferry.WorkerClock) {
 	if at > 0 && t.checkpoint == "" && !s.Off[mothferry.FeatureStragglers] {
 		t.track.Start(at)
 	}
 }
 
-// recordSpeedProgress takes a run's progress into what is known of speeds.
+// recordSpeedProgress records the evidence of speed in a run's progress.
 func (s *State) recordSpeedProgress(t *task, w *worker, now time.Time) {
 	if !t.measuresSpeed() || s.Off[mothferry.FeatureStragglers] || t.phase != phaseRunning || !w.lastAnswer.hasClock {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// recordSpeedEnd takes a run that has done its work into what is known of speeds.
+// recordSpeedEnd records the evidence of speed of a run that has completed its task.
 func (s *State) recordSpeedEnd(t *task, w *worker, now time.Time) {
 	if !t.measuresSpeed() || s.Off[mothferry.FeatureStragglers] || t.phase != phaseRunning {
 		return
@@ -104,8 +106,8 @@
 		if !w.listed {
 			continue
 		}
-		hangs := pools[w.Service].WorkerAtFault(w.hangs.Value(hangDecayTime, now), w.jobsWithHungTasks(now))
-		v := w.slowStatus.Next(s.speedOf(w, now), hangs, now)
+		atFault := pools[w.Service].WorkerAtFault(w.hangs.Value(hangDecayTime, now), w.jobsWithHungTasks(now))
+		v := w.slowStatus.Next(s.speedOf(w, now), atFault, now)
 		if v.Known(now) {
 			known[w.Service]++
 		}
@@ -122,23 +124,23 @@
 	}
 	s.anySlow = len(slow) > 0
 	for _, w := range s.sortedWorkers {
-		v, judged := next[w.at.Worker]
-		if judged && v.Degraded() && !slow[w.at.Worker] {
+		v, classified := next[w.at.Worker]
+		if classified && v.Degraded() && !slow[w.at.Worker] {
 			v = v.Cleared()
 		}
-		if judged {
-			s.setSlowState(w, v)
+		if classified {
+			s.setSlowStatus(w, v)
 		}
 	}
 }
 
-// jobsWithHungTasks returns of how many jobs tasks hung on a worker lately.
+// jobsWithHungTasks returns the number of jobs whose tasks hung on a worker recently.
 func (w *worker) jobsWithHungTasks(now time.Time) int {
 	maps.DeleteFunc(w.hungJobs, func(_ mothferry.JobID, at time.Time) bool { return now.Sub(at) > hangDecayTime })
 	return len(w.hungJobs)
 }
 
-// speedOf returns what a worker's tasks tell of its speed now.
+// speedOf returns a worker's speed by the current evidence of its tasks.
 func (s *State) speedOf(w *worker, now time.Time) mfspeed.Speed {
 	s.evidence.Reset()
 	for _, t := range w.tasks {
@@ -150,8 +152,8 @@
 	return s.evidence.Speed()
 }
 
-// setSlowState gives a worker a standing and logs it when the worker becomes slow or no longer is.
-func (s *State) setSlowState(w *worker, v mfstraggler.Status) {
+// setSlowStatus sets a worker's status and logs when it becomes degraded or no longer is.
+func (s *State) setSlowStatus(w *worker, v mfstraggler.Status) {
 	was := w.slowStatus.Degraded()
 	w.slowStatus = v
 	if was == v.Degraded() {
@@ -168,13 +170,14 @@
 
 func round(v float64) float64 { return math.Round(v*100) / 100 }
 
-// turnover is how fast the usual workers of a service get room, and how much waits for it.
+// turnover is how fast the normal workers of a service free capacity, and how much waits for it.
 type turnover struct {
-	// freedPerSecond is the millicores a second that end there, held those of tasks that were told to wait.
+	// freedPerSecond is how many millicores per second ending tasks free there; waiting is the
+	// millicores of the tasks that wait for them.
 	freedPerSecond, waiting int64
 }
 
-// turnoverOf returns the relief of a service's usual workers, nil while none is slow.
+// turnoverOf returns the turnover of a service's normal workers, or nil if no worker is degraded.
 func (s *State) turnoverOf(workers []*worker) *turnover {
 	if !s.anySlow {
 		return nil
@@ -197,8 +200,8 @@
 	return r
 }
 
-// shouldWait reports whether a task should wait for room on a usual worker rather than start on
-// the one that was chosen for it.
+// shouldWait reports whether a task should wait for free capacity on a normal worker rather than
+// start on the worker that was chosen for it.
 func (r *turnover) shouldWait(t *task, w *worker, now time.Time) bool {
 	if r == nil || !w.slowStatus.Degraded() || !t.measuresSpeed() || r.freedPerSecond <= 0 {
 		return false
@@ -216,15 +219,15 @@
 	return true
 }
 
-// SlowWorker is a worker that counts as slow, or as one on which tasks hang.
+// SlowWorker is a degraded worker: a slow one, or one on which tasks hang.
 type SlowWorker struct {
 	Service mothferry.ServiceID
 	Worker  mothferry.WorkerID
-	// Speed is that against its peers; 1 is usual.
+	// Speed is relative to the worker's peers; 1 is normal.
 	Speed float64
 }
 
-// SlowWorkers returns the workers that count as slow now, in the order of their ids.
+// SlowWorkers returns the degraded workers, ordered by id.
 func (s *State) SlowWorkers() []SlowWorker {
 	var out []SlowWorker
 	for _, w := range s.sortedWorkers {
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -9,32 +9,34 @@
 	"mothferry/mfstraggler"
 )
 
-// Messages of decisions about uneven workers, by which operators' tools find them.
+// Messages of decisions about degraded workers. Operators' tools match them.
 const (
 	MessageSlow         = "worker is slow"
 	MessageNoLongerSlow = "worker is no longer slow"
 	MessageRestarted    = "task is behind, starts elsewhere"
-	// MessageCopyStarted, and how it ended: the copy did the work first, or the other run did.
 	MessageCopyStarted  = "copy of a task is started"
+	// MessageCopyFinished: the copy completed the task first.
 	MessageCopyFinished = "copy is done first, the other run is stopped"
-	MessageCopyStopped  = "copy is stopped"
+	// MessageCopyStopped: the original run completed the task first.
+	MessageCopyStopped = "copy is stopped"
 )
 
 const (
-	// restoreLatency is about how long a task takes to go on from a checkpoint.
+	// restoreLatency is about how long a task takes to resume from a checkpoint.
 	restoreLatency = 500 * time.Millisecond
-	// startLatency is about how long a start takes from its decision, with the commit before.
+	// startLatency is about how long a start takes from its decision, including the commit.
 	startLatency = 100 * time.Millisecond
 )
 
-// maxRelocationSearches bounds the tasks for which a round of chores looks for room on usual workers.
+// maxRelocationSearches bounds the tasks for which one housekeeping round searches free capacity
+// on normal workers.
 const maxRelocationSearches = 32
 
-// relocateStragglers has tasks on slow workers that would end clearly sooner elsewhere begin there.
-// Each takes room on a usual worker that no other task was promised.
+// relocateStragglers relocates tasks on slow workers that would end clearly sooner elsewhere.
+// Each gets capacity of a normal worker that is reserved for no other task.
 //
-// The load it answers: a third of a large pool turns slow while all of it is full, so that
-// thousands of tasks are behind at a time and hardly one has room elsewhere.
+// If a third of a large, full pool becomes slow, thousands of tasks are stragglers at a time and
+// hardly any has free capacity elsewhere. A round therefore makes a bounded number of searches.
 func (s *State) relocateStragglers(now time.Time) {
 	if !s.anySlow || s.Off[mothferry.FeatureStragglers] {
 		return
@@ -45,50 +47,50 @@
 		}
 		return t.reservedOn == nil
 	})
-	rooms := map[mothferry.ServiceID]*relocationCapacity{}
-	sought := 0
-	// A round goes on where the last one stopped, so that none is left out for good.
-	from, _ := slices.BinarySearchFunc(s.sortedWorkers, s.stragglerScanFrom, byID)
+	capacities := map[mothferry.ServiceID]*relocationCapacity{}
+	searches := 0
+	// A round continues where the last one stopped, so that no worker is left out for good.
+	first, _ := slices.BinarySearchFunc(s.sortedWorkers, s.stragglerScanFrom, byID)
 	for i := range s.sortedWorkers {
-		w := s.sortedWorkers[(from+i)%len(s.sortedWorkers)]
+		w := s.sortedWorkers[(first+i)%len(s.sortedWorkers)]
 		if !w.slowStatus.Slow || w.unresponsive || !w.fenced {
 			continue
 		}
-		if sought >= maxRelocationSearches {
+		if searches >= maxRelocationSearches {
 			s.stragglerScanFrom = w.at.Worker
 			break
 		}
 		for _, t := range w.tasksWhere(func(t *task) bool { return t.relocatable(w, s.Limits) }) {
-			r := rooms[w.Service]
+			r := capacities[w.Service]
 			if r == nil {
 				r = s.relocationCapacityOf(w.Service, now)
-				rooms[w.Service] = r
+				capacities[w.Service] = r
 			}
 			if !r.cannotFit(t.step.spec) && s.relocate(t, r, now) {
-				sought++
+				searches++
 			}
 		}
 	}
 }
 
-// awaitsRelocation reports whether a task that was stopped for being behind has yet to begin elsewhere.
+// awaitsRelocation reports whether a task that was stopped as a straggler has not restarted yet.
 func (t *task) awaitsRelocation() bool {
 	return t.reservedOn != nil && !t.job.state.Final() && t.phase != phaseRunning && t.phase != phaseDone
 }
 
-// relocationCapacity is what the usual workers of a service have free beside what was promised to tasks
-// that are stopped to begin there.
+// relocationCapacity is the free capacity of a service's normal workers, less what is reserved for
+// tasks that were stopped to restart there.
 type relocationCapacity struct {
 	workers []*worker
 	free    []mothferry.Resources
 	index   map[*worker]int
-	// unplaceable holds what found no room, by the label that it asks for.
+	// unplaceable holds the sizes that fit on no worker, by the label that the task requires.
 	unplaceable map[string][]mothferry.Resources
-	// corrected holds what was handed in for jobs, with the times that their tasks usually take.
+	// corrected caches the results of correctedSubmission.
 	corrected map[*job]mfjob.Submission
 }
 
-// relocationCapacityOf returns the free room of the usual workers of a service.
+// relocationCapacityOf returns the free capacity of a service's normal workers.
 func (s *State) relocationCapacityOf(service mothferry.ServiceID, now time.Time) *relocationCapacity {
 	r := &relocationCapacity{index: map[*worker]int{}, unplaceable: map[string][]mothferry.Resources{}, corrected: map[*job]mfjob.Submission{}}
 	for _, w := range s.sortedWorkers {
@@ -110,30 +112,30 @@
 	return r
 }
 
-// reserve takes the room of a task from a worker, or from the first other one that has it.
+// reserve takes a task's capacity from a worker, or from the first other one on which it fits.
 func (r *relocationCapacity) reserve(t *task, w *worker) {
-	of := t.step.spec
+	spec := t.step.spec
 	i, known := r.index[w]
-	if !known || !of.Room().Fits(r.free[i]) {
+	if !known || !spec.Room().Fits(r.free[i]) {
 		i = -1
-		if !r.cannotFit(of) {
-			i = slices.IndexFunc(r.workers, func(o *worker) bool { return hasLabel(o, of.Label) && of.Room().Fits(r.free[r.index[o]]) })
+		if !r.cannotFit(spec) {
+			i = slices.IndexFunc(r.workers, func(o *worker) bool { return hasLabel(o, spec.Label) && spec.Room().Fits(r.free[r.index[o]]) })
 		}
 	}
 	if i < 0 {
-		r.unplaceable[of.Label] = append(r.unplaceable[of.Label], of.Room())
+		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Room())
 		return
 	}
-	r.free[i] = r.free[i].Sub(of.Room())
+	r.free[i] = r.free[i].Sub(spec.Room())
 }
 
-// cannotFit reports whether it is known that no worker has room for a task of a step.
-func (r *relocationCapacity) cannotFit(of *mfjob.Step) bool {
-	larger := func(size mothferry.Resources) bool { return size.Fits(of.Room()) }
-	return slices.ContainsFunc(r.unplaceable[""], larger) || of.Label != "" && slices.ContainsFunc(r.unplaceable[of.Label], larger)
+// cannotFit reports whether a task of a step is known to fit on no worker.
+func (r *relocationCapacity) cannotFit(spec *mfjob.Step) bool {
+	larger := func(size mothferry.Resources) bool { return size.Fits(spec.Room()) }
+	return slices.ContainsFunc(r.unplaceable[""], larger) || spec.Label != "" && slices.ContainsFunc(r.unplaceable[spec.Label], larger)
 }
 
-// relocatable reports whether a task may be worth a start elsewhere.
+// relocatable reports whether a task might end sooner if it is relocated.
 func (t *task) relocatable(w *worker, l Limits) bool {
 	if t.phase != phaseRunning || !t.measuresSpeed() || t.copyOf != nil || t.copyTask != nil || t.suspect() || t.job.state.Final() {
 		return false
@@ -141,27 +143,27 @@
 	if _, known := t.track.Rate(); !known {
 		return false
 	}
-	by := t.mitigation()
-	if by == mitigationNone {
+	m := t.mitigation()
+	if m == mitigationNone {
 		return false
 	}
-	here, there := t.expectedTimes(w, by, l)
-	return here > there
+	remaining, elsewhere := t.expectedTimes(w, m, l)
+	return remaining > elsewhere
 }
 
-// mitigation is how a task that is behind begins elsewhere.
+// mitigation is how a straggler is relocated.
 type mitigation int
 
 const (
 	mitigationNone mitigation = iota
-	// mitigationCopy: as a second run beside the first.
+	// mitigationCopy: a copy runs in parallel with the original run.
 	mitigationCopy
-	// mitigationRestart: once its run is stopped.
+	// mitigationRestart: the run is stopped, and the task then restarts elsewhere.
 	mitigationRestart
 )
 
-// mitigation returns how the task may begin elsewhere. One that may have a copy is stopped instead
-// where its account has no room for two runs.
+// mitigation returns how the task may be relocated. One that may have a copy is restarted instead
+// if its account's limit has no capacity left for two runs.
 func (t *task) mitigation() mitigation {
 	switch {
 	case t.step.spec.Speculative && t.copies < mfstraggler.MaxCopies && t.job.account.admits(t.step.spec.Need):
@@ -173,51 +175,52 @@
 	}
 }
 
-// expectedTimes returns how long a task on a slow worker still takes there, and until it would
-// end on a usual one: from its checkpoint, or from its beginning if it has none.
-func (t *task) expectedTimes(w *worker, by mitigation, l Limits) (here, there time.Duration) {
-	whole := float64(t.track.TotalDuration(t.step.spec.Estimate))
-	left := whole * (1 - float64(t.percent)/fullPace)
-	if by == mitigationCopy {
-		// The worker goes on, so that its newest checkpoint is of now at the best.
-		return time.Duration(left), startLatency + time.Duration(whole*w.slowStatus.RelativeSpeed())
+// expectedTimes returns how long a task on a slow worker still takes there, and how long until it
+// would end on a normal one: from its checkpoint, or from its start if it has none.
+func (t *task) expectedTimes(w *worker, m mitigation, l Limits) (remaining, elsewhere time.Duration) {
+	total := float64(t.track.TotalDuration(t.step.spec.Estimate))
+	left := total * (1 - float64(t.percent)/fullPace)
+	if m == mitigationCopy {
+		// The original run isn't stopped, so the copy gets no newer checkpoint than the present
+		// one. The estimate is for the whole task.
+		return time.Duration(left), startLatency + time.Duration(total*w.slowStatus.RelativeSpeed())
 	}
-	there = l.StopTimeout/2 + startLatency
+	elsewhere = l.StopTimeout/2 + startLatency
 	if t.step.spec.Checkpoint {
-		return time.Duration(left), there + restoreLatency + time.Duration(left*w.slowStatus.RelativeSpeed())
+		return time.Duration(left), elsewhere + restoreLatency + time.Duration(left*w.slowStatus.RelativeSpeed())
 	}
-	return time.Duration(left), there + time.Duration(whole*w.slowStatus.RelativeSpeed())
+	return time.Duration(left), elsewhere + time.Duration(total*w.slowStatus.RelativeSpeed())
 }
 
-// relocate has a task that is behind begin on a usual worker if its job gains by that. It reports
-// whether it had to look for room.
+// relocate copies or restarts a straggler on a normal worker if its job gains by that. It reports
+// whether it searched for free capacity.
 func (s *State) relocate(t *task, r *relocationCapacity, now time.Time) bool {
-	w, by := t.worker, t.mitigation()
-	if by == mitigationNone {
+	w, m := t.worker, t.mitigation()
+	if m == mitigationNone {
 		return false
 	}
-	c := mfstraggler.Straggler{}
-	c.Remaining, c.Elsewhere = t.expectedTimes(w, by, s.Limits)
-	c.UntilLate, c.UntilTooLate = s.timeLeft(t, r, now)
-	if !c.ShouldRestart() {
+	st := mfstraggler.Straggler{}
+	st.Remaining, st.Elsewhere = t.expectedTimes(w, m, s.Limits)
+	st.UntilLate, st.UntilTooLate = s.timeLeft(t, r, now)
+	if !st.ShouldRestart() {
 		return false
 	}
-	o := s.relocationTarget(t, by, r, now)
-	if o == nil {
+	target := s.relocationTarget(t, m, r, now)
+	if target == nil {
 		return true
 	}
 	message := MessageRestarted
-	if by == mitigationCopy {
+	if m == mitigationCopy {
 		message = MessageCopyStarted
 	}
 	s.emit(Decision{Message: message, Job: t.job.id, Worker: w.at.Worker, Fields: map[string]any{
-		"service": w.Service, "step": t.name.Step, "index": t.name.Index, "run": t.run, "percent": t.percent, "other": o.at.Worker,
+		"service": w.Service, "step": t.name.Step, "index": t.name.Index, "run": t.run, "percent": t.percent, "other": target.at.Worker,
 		"speed": round(w.slowStatus.Speed.Relative), "uncertainty": round(w.slowStatus.Speed.Uncertainty),
-		"here_ms": c.Remaining.Milliseconds(), "there_ms": c.Elsewhere.Milliseconds(), "left_ms": c.UntilLate.Milliseconds(),
+		"here_ms": st.Remaining.Milliseconds(), "there_ms": st.Elsewhere.Milliseconds(), "left_ms": st.UntilLate.Milliseconds(),
 	}})
-	r.free[r.index[o]] = r.free[r.index[o]].Sub(t.step.spec.Room())
-	if by == mitigationCopy {
-		s.planCopy(t, o)
+	r.free[r.index[target]] = r.free[r.index[target]].Sub(t.step.spec.Room())
+	if m == mitigationCopy {
+		s.planCopy(t, target)
 		return true
 	}
 	t.avoidWorker = w.at.Worker
@@ -225,25 +228,25 @@
 	if t.reservedOn == nil {
 		s.relocating = append(s.relocating, t)
 	}
-	t.reservedOn = o
+	t.reservedOn = target
 	s.stop(t, now)
 	return true
 }
 
-// relocationTarget returns the usual worker that suits a task best, of those that have room for it beside
-// what others were promised; nil if none has.
-func (s *State) relocationTarget(t *task, by mitigation, r *relocationCapacity, now time.Time) *worker {
-	of := t.step.spec
-	// A copy is started at once, and needs its ticket now.
-	ticket := by == mitigationCopy && s.queueOf(t.job).Advised
+// relocationTarget returns the normal worker with the best score for a task among those that have
+// unreserved free capacity for it; nil if there is none.
+func (s *State) relocationTarget(t *task, m mitigation, r *relocationCapacity, now time.Time) *worker {
+	spec := t.step.spec
+	// A copy starts immediately, so it needs its ticket now.
+	ticket := m == mitigationCopy && s.queueOf(t.job).Advised
 	var best *worker
 	bestScore, fits := 0.0, false
 	for i, o := range r.workers {
-		if !of.Room().Fits(r.free[i]) || !hasLabel(o, of.Label) {
+		if !spec.Room().Fits(r.free[i]) || !hasLabel(o, spec.Label) {
 			continue
 		}
 		fits = true
-		if ticket && !s.hasTicket(t.step, o, now) || s.stepTasksOn(t.step, o) >= perWorkerLimit(of.PerWorker) {
+		if ticket && !s.hasTicket(t.step, o, now) || s.stepTasksOn(t.step, o) >= perWorkerLimit(spec.PerWorker) {
 			continue
 		}
 		if score := s.score(t, o); best == nil || score > bestScore {
@@ -251,54 +254,55 @@
 		}
 	}
 	if !fits {
-		r.unplaceable[of.Label] = append(r.unplaceable[of.Label], of.Room())
+		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Room())
 	}
 	return best
 }
 
-// timeLeft returns how long a task may still take for its job to be in time, and to be of
-// any use.
-func (s *State) timeLeft(t *task, r *relocationCapacity, now time.Time) (left, lateLeft time.Duration) {
+// timeLeft returns how long a task may still take for its job to meet its objective, and for its
+// job not to be too late.
+func (s *State) timeLeft(t *task, r *relocationCapacity, now time.Time) (untilLate, untilTooLate time.Duration) {
 	j, q := t.job, s.queueOf(t.job)
 	o := j.occurrences[t.name.Occurrence]
-	begun := j.submission.Accepted
+	from := j.submission.Accepted
 	if !o.scheduledAt.IsZero() {
-		begun = o.scheduledAt
+		from = o.scheduledAt
 	}
-	usual, known := r.corrected[j]
+	corrected, known := r.corrected[j]
 	if !known {
-		usual = s.correctedSubmission(j)
-		r.corrected[j] = usual
+		corrected = s.correctedSubmission(j)
+		r.corrected[j] = corrected
 	}
-	follows := usual.ChainAfter(t.name.Step)
-	aim := mfjob.Objective(q.Stretch, q.Latency, usual.Chain())
-	return begun.Add(aim).Sub(now) - follows, begun.Add(mfjob.LateFactor*aim).Sub(now) - follows
+	after := corrected.ChainAfter(t.name.Step)
+	objective := mfjob.Objective(q.Stretch, q.Latency, corrected.Chain())
+	return from.Add(objective).Sub(now) - after, from.Add(mfjob.LateFactor*objective).Sub(now) - after
 }
 
-// correctedSubmission returns what was handed in for a job, with the estimates as tasks of each kind show
-// them to be, where that is known.
+// correctedSubmission returns a job's submission with the estimates replaced by the expected
+// durations of the tasks' classes, where these have a baseline.
 func (s *State) correctedSubmission(j *job) mfjob.Submission {
-	usual := j.submission
-	usual.Steps = slices.Clone(usual.Steps)
-	for i := range usual.Steps {
-		of := &usual.Steps[i]
-		if takes, known := s.kinds.Expected(speedClassOf(j, i, false), of.Estimate); known {
-			of.Estimate = takes
+	corrected := j.submission
+	corrected.Steps = slices.Clone(corrected.Steps)
+	for i := range corrected.Steps {
+		spec := &corrected.Steps[i]
+		if expected, known := s.kinds.Expected(speedClassOf(j, i, false), spec.Estimate); known {
+			spec.Estimate = expected
 		}
 	}
-	return usual
+	return corrected
 }
 
-// stallTimeout returns how long a task may stand still before it hangs. Where tasks of its kind
-// are known to advance, that is some times what a percent takes; after a stop it is longer.
+// stallTimeout returns how long a task may make no progress before it counts as hung. If its class
+// has a baseline, it follows from the expected time per percent. A task that has a checkpoint or
+// was stopped as stuck before gets the longer fixed timeout.
 func (s *State) stallTimeout(t *task) time.Duration {
-	allowed := stuckAfter + time.Duration(stuckEstimateShare*float64(t.step.spec.Estimate))
+	timeout := stuckAfter + time.Duration(stuckEstimateShare*float64(t.step.spec.Estimate))
 	if s.Off[mothferry.FeatureStragglers] || !t.measuresSpeed() || t.stuckStops > 0 || t.checkpoint != "" {
-		return allowed
+		return timeout
 	}
-	usual, known := s.kinds.Expected(t.speedClass(t.worker), t.step.spec.Estimate)
+	expected, known := s.kinds.Expected(t.speedClass(t.worker), t.step.spec.Estimate)
 	if !known {
-		return allowed
+		return timeout
 	}
-	return min(allowed, mfstraggler.HangTimeout(max(usual, t.step.spec.Estimate), t.worker.slowStatus.RelativeSpeed()))
+	return min(timeout, mfstraggler.HangTimeout(max(expected, t.step.spec.Estimate), t.worker.slowStatus.RelativeSpeed()))
 }
--- a/mfsched/straggler_bench_test.go
+++ b/mfsched/straggler_bench_test.go
@@ -9,8 +9,9 @@
 	"mothferry/mfsched"
 )
 
-// BenchmarkTickWithSlowWorkers takes the time of a tick with 3,000 workers and 9,000 tasks, all
-// workers full: three of ten turn slow, so that all their tasks are behind and none has room elsewhere.
+// BenchmarkTickWithSlowWorkers measures a tick with 3,000 full workers and 9,000 runs. Three of
+// ten workers become slow, so that all their tasks are stragglers and none has free capacity
+// elsewhere.
 func BenchmarkTickWithSlowWorkers(b *testing.B) {
 	for _, off := range []bool{true, false} {
 		b.Run(fmt.Sprintf("off=%v", off), func(b *testing.B) { benchmarkTickWithSlowWorkers(b, off) })
@@ -18,21 +19,21 @@
 }
 
 func benchmarkTickWithSlowWorkers(b *testing.B, off bool) {
-	const workers, jobs, takes, gap = 3000, 1000, 10 * time.Second, 100 * time.Millisecond
+	const workers, jobs, taskDuration, interval = 3000, 1000, 10 * time.Second, 100 * time.Millisecond
 	s := &script{state: mfsched.New(limits(), 2, startTime, startTime.Add(limits().LeaseExpiryBound())), now: startTime}
 	s.state.Off = mothferry.FeaturesOff{mothferry.FeatureStragglers: off}
 	s.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
-		queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: takes},
+		queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: taskDuration},
 	}})
-	runs, pace := map[mothferry.WorkerID][]*simRun{}, map[mothferry.WorkerID]float64{}
+	runs, speed := map[mothferry.WorkerID][]*simRun{}, map[mothferry.WorkerID]float64{}
 	for i := range workers {
 		w := worker(mothferry.WorkerID(fmt.Sprintf("w-%d", i)))
-		w.Capacity.Cores, pace[w.At.Worker] = 3400, 1
+		w.Capacity.Cores, speed[w.At.Worker] = 3400, 1
 		s.step(mfsched.WorkerListed{Worker: w})
 	}
 	for i := range jobs {
 		of := submission(s.now, 10)
-		of.Steps[0].Estimate = takes
+		of.Steps[0].Estimate = taskDuration
 		s.step(mfsched.JobFound{Job: jobID(fmt.Sprintf("j-%d", i)), Submission: of})
 	}
 	advance := func(d time.Duration) {
@@ -42,7 +43,7 @@
 		}
 		for id, of := range runs {
 			for _, r := range of {
-				r.done = min(0.99, r.done+float64(d)/float64(takes)*pace[id])
+				r.done = min(0.99, r.done+float64(d)/float64(taskDuration)*speed[id])
 			}
 		}
 		for _, l := range takeCommands[mfsched.Poll](s) {
@@ -61,23 +62,23 @@
 	}
 	for range 45 {
 		tick()
-		advance(gap / 5)
+		advance(interval / 5)
 	}
 	for i := range workers {
 		if i%10 < 3 {
-			pace[mothferry.WorkerID(fmt.Sprintf("w-%d", i))] = 0.1
+			speed[mothferry.WorkerID(fmt.Sprintf("w-%d", i))] = 0.1
 		}
 	}
 	for range 50 {
 		tick()
-		advance(gap)
+		advance(interval)
 	}
 	b.ReportMetric(float64(len(s.state.SlowWorkers())), "slow")
 	for b.Loop() {
 		s.step(mfsched.Tick{})
 		b.StopTimer()
 		s.storeCommits()
-		advance(gap)
+		advance(interval)
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(len(s.state.SlowWorkers())), "slow")
--- a/mfsched/straggler_fault_test.go
+++ b/mfsched/straggler_fault_test.go
@@ -11,19 +11,20 @@
 	"mothferry/mfsched"
 )
 
-// drainAllExcept has all workers leave but some.
-func (p *simPool) drainAllExcept(stay ...mothferry.WorkerID) {
-	leaving := map[mothferry.WorkerID]bool{}
+// evacuateAllExcept has all workers evacuated except some.
+func (p *simPool) evacuateAllExcept(kept ...mothferry.WorkerID) {
+	evacuate := map[mothferry.WorkerID]bool{}
 	for _, id := range p.workers {
-		leaving[id] = true
+		evacuate[id] = true
 	}
-	for _, id := range stay {
-		delete(leaving, id)
+	for _, id := range kept {
+		delete(evacuate, id)
 	}
-	p.step(mfsched.WorkersToEvacuate{Workers: leaving})
+	p.step(mfsched.WorkersToEvacuate{Workers: evacuate})
 }
 
-// countRestarts counts how often tasks of a job were stopped for being behind; of all jobs for none.
+// countRestarts counts the restarts of a job's tasks as stragglers, or those of all jobs for an
+// empty id.
 func (p *simPool) countRestarts(job mothferry.JobID) int {
 	count := 0
 	for _, d := range p.logged {
@@ -34,8 +35,8 @@
 	return count
 }
 
-// Guards against an owner that stood still for a second and takes its workers as slow, as their
-// answers are older than it thinks.
+// An owner is paused for a second while poll answers wait for it. It must not take its workers for
+// slow because these answers are older than it assumes.
 func TestPausedOwnerMarksNoWorkerSlow(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -56,8 +57,8 @@
 	assert.Equal(t, p.countRestarts(""), 0)
 }
 
-// Guards against an owner that stood still for a while and stops long tasks all over its shard, as
-// answers that waited for it show them where the looks before did.
+// An owner is paused for 1.5 s while poll answers wait for it. It must not stop long tasks all over
+// its shard because these answers show the same progress as the previous polls.
 func TestPausedOwnerTreatsNoTaskAsHung(t *testing.T) {
 	p := newSimPool(t, 6)
 	busy := func(d time.Duration) {
@@ -86,30 +87,30 @@
 	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
-// Guards against tasks that are stopped one after the other for the same room elsewhere while the
-// first of them is still ending.
+// Guards against several tasks being stopped for the same free capacity elsewhere while the run of
+// the first one has yet to end.
 func TestFreeCapacityIsReservedForOneTask(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
 	p.simulate(time.Second)
-	p.drainAllExcept("w-1")
+	p.evacuateAllExcept("w-1")
 	hog := submission(p.now, 1)
 	hog.Steps[0].Need.Cores, hog.Steps[0].Estimate, hog.Steps[0].Image = 15000, time.Minute, "hog"
 	p.step(mfsched.JobFound{Job: "hog", Submission: hog})
 	p.simulate(100 * time.Millisecond)
 	assert.Assert(t, p.hasRun("hog", "w-1"))
 	p.speed["w-1"] = 0
-	p.drainAllExcept("w-0")
+	p.evacuateAllExcept("w-0")
 	p.submit("victims", 10)
 	p.simulate(100 * time.Millisecond)
-	p.drainAllExcept("w-0", "w-1")
+	p.evacuateAllExcept("w-0", "w-1")
 	p.speed["w-0"], p.dropStops["w-0"] = 0.1, true
 	p.simulate(1500 * time.Millisecond)
 	assert.Assert(t, p.countRestarts("victims") > 0)
-	assert.Assert(t, p.countRestarts("victims") <= 1, "%d tasks are stopped for the room of one", p.countRestarts("victims"))
+	assert.Assert(t, p.countRestarts("victims") <= 1, "%d tasks are stopped for the capacity of one", p.countRestarts("victims"))
 }
 
-// Guards against work that is stopped, and done twice, though no worker is of more use than another.
+// Guards against work that is stopped and repeated although all workers are equally slow.
 func TestNoTaskIsStoppedWhenAllWorkersAreSlow(t *testing.T) {
 	p := newSimPool(t, 10)
 	p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
@@ -123,8 +124,8 @@
 	assert.Equal(t, p.countRestarts(""), 0)
 }
 
-// Guards against workers that are blamed for one job whose estimate is far too low, and whose
-// tasks take as long anywhere.
+// Guards against workers that are taken for slow because of one job whose estimate is far too low,
+// so that its tasks take long on any worker.
 func TestSingleLongJobIsNotRestarted(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -134,41 +135,41 @@
 	assert.Equal(t, p.countRestarts("long"), 0)
 }
 
-// Guards against tasks that are taken to hang as their worker stood still for a moment, and are
-// all stopped when it answers again.
+// A worker is paused for 0.7 s and answers its polls late. Its tasks must not count as hung and be
+// stopped when it answers again.
 func TestTasksOfPausedWorkerAreNotStopped(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
-	const frozen = 700 * time.Millisecond
-	held := map[mothferry.WorkerID][]mfsched.Poll{}
-	pace := p.speed["w-0"]
+	const pause = 700 * time.Millisecond
+	waiting := map[mothferry.WorkerID][]mfsched.Poll{}
+	speed := p.speed["w-0"]
 	p.speed["w-0"] = 0
-	for end := p.now.Add(frozen); p.now.Before(end); {
+	for end := p.now.Add(pause); p.now.Before(end); {
 		p.advance(20 * time.Millisecond)
 		p.advanceRuns(20 * time.Millisecond)
 		for _, l := range takeCommands[mfsched.Poll](p.script) {
 			if l.At.Worker == "w-0" {
-				held["w-0"] = append(held["w-0"], l)
+				waiting["w-0"] = append(waiting["w-0"], l)
 				continue
 			}
 			p.answer(l)
 		}
 	}
-	assert.Assert(t, len(held["w-0"]) > 0)
-	p.speed["w-0"] = pace
-	for _, l := range held["w-0"] {
+	assert.Assert(t, len(waiting["w-0"]) > 0)
+	p.speed["w-0"] = speed
+	for _, l := range waiting["w-0"] {
 		p.answer(l)
 	}
 	p.simulate(300 * time.Millisecond)
 	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
-// Guards against a worker that stood still for longer than its looks wait, did not answer, and is taken
-// as slow for that time when it answers again.
+// A worker is paused for longer than its polls wait and doesn't answer them. It must not count as
+// slow for that time when it answers again.
 func TestUnresponsiveWorkerIsNotMarkedSlow(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
-	pace := p.speed["w-0"]
+	speed := p.speed["w-0"]
 	p.speed["w-0"] = 0
 	p.simulate(20 * time.Millisecond)
 	for end := p.now.Add(time.Second); p.now.Before(end); {
@@ -182,15 +183,15 @@
 			p.step(mfsched.PollFailed{Worker: "w-0", Number: l.Number, Sent: p.now, Result: mfsched.ResultUnknown})
 		}
 	}
-	p.speed["w-0"] = pace
+	p.speed["w-0"] = speed
 	p.submitSteadily(time.Second)
 	assert.Equal(t, p.countLogged(mfsched.MessageSlow), 0)
 	assert.Equal(t, p.countLogged("task stands still"), 0)
 }
 
-// Guards against commands that come in another order when the same events are played again.
+// Guards against commands in another order when the same events are replayed.
 func TestSlowWorkersAreLoggedInFixedOrder(t *testing.T) {
-	tell := func() string {
+	logOrder := func() string {
 		p := newSimPool(t, 6)
 		p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
 			queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond},
@@ -214,23 +215,23 @@
 		busy(2 * time.Second)
 		p.speed["w-0"], p.speed["x-0"] = 0.2, 0.2
 		busy(time.Second)
-		told := ""
+		logged := ""
 		for _, d := range p.logged {
 			if d.Message == mfsched.MessageSlow {
-				told += fmt.Sprintf("%s at %v ", d.Worker, d.Fields["service"])
+				logged += fmt.Sprintf("%s at %v ", d.Worker, d.Fields["service"])
 			}
 		}
-		return told
+		return logged
 	}
-	first := tell()
+	first := logOrder()
 	assert.Assert(t, first != "")
 	for range 12 {
-		assert.Equal(t, tell(), first)
+		assert.Equal(t, logOrder(), first)
 	}
 }
 
-// Guards against a task that may have a copy and stays on a slow worker, as its account has no
-// room for two runs, where a task that may not is stopped and starts elsewhere.
+// Guards against a task that may have a copy, but stays on a slow worker because its account's
+// limit doesn't admit two runs. A task that may not have a copy is restarted elsewhere.
 func TestTaskWithoutCapacityForCopyIsRestarted(t *testing.T) {
 	for _, speculative := range []bool{false, true} {
 		p := newSimPool(t, 6)
@@ -241,7 +242,7 @@
 			Accounts: map[mothferry.AccountID]mfsched.Account{"a": {Limit: mothferry.Resources{Cores: 1000}}},
 		})
 		p.submitSteadily(2 * time.Second)
-		p.drainAllExcept("w-0")
+		p.evacuateAllExcept("w-0")
 		s := submission(p.now, 1)
 		s.Account, s.Steps[0].Speculative = "a", speculative
 		p.step(mfsched.JobFound{Job: victim, Submission: s})
@@ -253,7 +254,7 @@
 	}
 }
 
-// Guards against workers that are blamed for one job whose tasks hang anywhere.
+// Guards against workers that are found at fault for one job whose tasks hang on any worker.
 func TestSingleHungJobDoesNotMarkWorkersSlow(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -263,7 +264,7 @@
 	assert.Equal(t, p.countLogged(mfsched.MessageSlow), 0)
 }
 
-// Guards against a task that waits for room on workers which may not run it beside one that may.
+// Guards against a task that waits for capacity on normal workers that may not run it.
 func TestTaskRestrictedToSlowWorkerDoesNotWait(t *testing.T) {
 	p := newSimPool(t, 6)
 	labelled := worker("w-0")
@@ -280,8 +281,8 @@
 	assert.Equal(t, p.countStarts(victim), 1)
 }
 
-// Guards against slow workers that are never found where a wide step starts all at once: their runs
-// tell their rates last, and must not become what is usual.
+// Guards against slow workers that are never detected because a wide step starts all at once: the
+// rates of their runs are known last and must not become the baseline.
 func TestSlowWorkersOfWideStepAreDetected(t *testing.T) {
 	const slow = 6
 	p := newSimPool(t, 20)
@@ -295,8 +296,8 @@
 	assert.DeepEqual(t, p.slowWorkers(), p.workers[:slow])
 }
 
-// Guards against most tasks of a lasting step on one machine, whose end takes them all away, as
-// the others are slow: how fast tasks end there says nothing of what lasts.
+// Guards against a lasting step with most of its tasks on one machine, whose end would take them
+// all away, because the others are slow. How fast tasks end there is no evidence for lasting ones.
 func TestLastingTasksAreSpreadOverSlowWorkers(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -305,22 +306,22 @@
 	p.simulate(3500 * time.Millisecond)
 	assert.Equal(t, len(p.runs["w-0"]), 0)
 	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
-	p.drainAllExcept("w-0", "w-1")
+	p.evacuateAllExcept("w-0", "w-1")
 	lasting := submission(p.now, 10)
 	lasting.Steps[0].Lasting, lasting.Steps[0].MayMiss = true, 2
 	p.step(mfsched.JobFound{Job: "lasts", Submission: lasting})
 	p.simulate(100 * time.Millisecond)
-	on := map[mothferry.WorkerID]int{}
+	counts := map[mothferry.WorkerID]int{}
 	for _, c := range p.starts {
 		if c.Order.Task.Job == "lasts" {
-			on[c.At.Worker]++
+			counts[c.At.Worker]++
 		}
 	}
-	assert.Equal(t, on["w-0"], 5, "%v", on)
+	assert.Equal(t, counts["w-0"], 5, "%v", counts)
 }
 
-// Guards against a task that waits for room on a usual worker which has all tasks of its step that
-// it may have.
+// Guards against a task that waits for capacity on a normal worker that already has as many tasks
+// of its step as it may have.
 func TestTaskBeyondPerWorkerBoundDoesNotWait(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
--- a/mfsched/straggler_test.go
+++ b/mfsched/straggler_test.go
@@ -11,7 +11,7 @@
 	"mothferry/mfsched"
 )
 
-// simPool plays workers that do what they are told, each at a pace of its own.
+// simPool simulates a pool of workers that carry out all orders, each at its own speed.
 type simPool struct {
 	*script
 	workers []mothferry.WorkerID
@@ -21,9 +21,9 @@
 	lastEnd map[mothferry.WorkerID]mothferry.EndNumber
 	starts  []mfsched.Start
 	stops   []mfsched.Stop
-	// dropStops holds workers that orders to stop do not reach.
+	// dropStops holds the workers that stop orders don't reach.
 	dropStops map[mothferry.WorkerID]bool
-	// durationFactor holds how many times as long the tasks of some jobs take as those of others.
+	// durationFactor holds the factors by which the tasks of some jobs take longer.
 	durationFactor map[mothferry.JobID]float64
 	logged         []mfsched.Decision
 }
@@ -32,7 +32,7 @@
 	task mothferry.TaskName
 	run  mothferry.RunNumber
 	done float64
-	// checkpoint is the last one that the run made.
+	// checkpoint is the run's latest one.
 	checkpoint mothferry.Checkpoint
 }
 
@@ -53,7 +53,7 @@
 	return p
 }
 
-// simulate lets time pass; each worker answers the looks at it after 20 ms.
+// simulate lets time pass; each worker answers its polls within 20 ms.
 func (p *simPool) simulate(d time.Duration) {
 	const tick = 20 * time.Millisecond
 	for end := p.now.Add(d); p.now.Before(end); {
@@ -116,7 +116,7 @@
 
 func (p *simPool) answer(l mfsched.Poll) { p.step(p.answerTo(l)) }
 
-// answerTo returns a worker's answer to a look as of now.
+// answerTo returns a worker's answer to a poll as of now.
 func (p *simPool) answerTo(l mfsched.Poll) mfsched.PollAnswered {
 	id := l.At.Worker
 	report := mothferry.LookReport{Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour)}
@@ -131,7 +131,7 @@
 	return mfsched.PollAnswered{Worker: id, Number: l.Number, Sent: p.now, Report: report}
 }
 
-// submitSteadily hands a job of a few tasks in each 100 ms.
+// submitSteadily submits a job of ten tasks every 100 ms.
 func (p *simPool) submitSteadily(d time.Duration) {
 	for range int(d / (100 * time.Millisecond)) {
 		p.submit(jobID(fmt.Sprintf("j-%d", p.now.UnixNano())), 10)
@@ -157,8 +157,9 @@
 	return count
 }
 
-// A worker turned five times slower: it is known within a second, its tasks that would be late
-// start elsewhere, and it gets hardly any new ones. Usual again, it is told to be so.
+// A worker becomes five times slower. Within a second it must be detected and tasks of it that
+// would be late restarted elsewhere; then it must get hardly any new tasks. Back at normal speed,
+// it must no longer count as slow.
 func TestSlowWorkerIsDetectedAndAvoided(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -169,21 +170,21 @@
 	assert.Assert(t, p.countLogged(mfsched.MessageRestarted) > 0)
 	p.starts = nil
 	p.submitSteadily(time.Second)
-	there := 0
+	onSlow := 0
 	for _, c := range p.starts {
 		if c.At.Worker == "w-0" {
-			there++
+			onSlow++
 		}
 	}
-	assert.Assert(t, there < len(p.starts)/20, "%d of %d", there, len(p.starts))
-	assert.Assert(t, len(p.starts) > 90, "tasks wait beside usual workers: %d started", len(p.starts))
+	assert.Assert(t, onSlow < len(p.starts)/20, "%d of %d", onSlow, len(p.starts))
+	assert.Assert(t, len(p.starts) > 90, "tasks wait although normal workers have free capacity: %d started", len(p.starts))
 	p.speed["w-0"] = 1
 	p.submitSteadily(8 * time.Second)
 	assert.Equal(t, len(p.slowWorkers()), 0)
 	assert.Assert(t, p.countLogged(mfsched.MessageNoLongerSlow) > 0)
 }
 
-// Guards against work that waits because all workers are taken as slow.
+// Guards against work that waits because all workers count as slow.
 func TestUniformSlowdownMarksNoWorkerSlow(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -196,31 +197,30 @@
 	assert.Equal(t, len(p.slowWorkers()), 0)
 }
 
-// Guards against a new life under the same id that counts as slow because the former one was.
+// Guards against a new incarnation that counts as slow because the previous one under its id did.
 func TestNewIncarnationIsNotSlow(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
 	p.speed["w-0"] = 0.2
 	p.submitSteadily(time.Second)
 	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
-	for born := range mothferry.LifeStart(2) {
+	for i := range mothferry.LifeStart(2) {
 		p.step(mfsched.PollAnswered{Worker: "w-0", Sent: p.now, Report: mothferry.LookReport{
-			Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour), Born: born + 1,
+			Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour), Born: i + 1,
 		}})
 	}
 	assert.Equal(t, len(p.slowWorkers()), 0)
 }
 
-// Guards against a successor that takes long to find the slow workers: what is known of speeds is
-// not stored.
+// Guards against a new owner that takes long to detect the slow workers: speeds are not stored.
 func TestSuccessorMeasuresSpeedsAgain(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
 	p.speed["w-0"] = 0.2
 	p.submitSteadily(time.Second)
-	former := p.script
+	previous := p.script
 	p.script = newScript(t)
-	p.now = former.now
+	p.now = previous.now
 	p.state = mfsched.New(limits(), 3, p.now, p.now.Add(limits().LeaseExpiryBound()))
 	p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
 		queue: {Service: service, MaxAttempts: 2, Stretch: 1.6, Latency: 600 * time.Millisecond},
@@ -233,7 +233,7 @@
 	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
 }
 
-// Guards against a task that is stopped again and again because it is always behind.
+// Guards against a task that is stopped again and again because it is a straggler wherever it runs.
 func TestTaskIsRestartedAtMostTwice(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.step(mfsched.ConfigChanged{Queues: map[mothferry.QueueID]mfsched.Queue{
@@ -261,7 +261,7 @@
 	assert.Equal(t, restarts, 2)
 }
 
-// Guards against lasting tasks at work that are ended because their worker is slow.
+// Guards against serving lasting tasks that are stopped because their worker is slow.
 func TestLastingTasksStayOnSlowWorkers(t *testing.T) {
 	p := newSimPool(t, 6)
 	lasting := submission(p.now, 6)
@@ -276,7 +276,7 @@
 	}
 }
 
-// With the feature off nothing is learned and nothing stopped.
+// With the feature off, no worker counts as slow and no task is restarted.
 func TestStragglerFeatureOff(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.state.Off = mothferry.FeaturesOff{mothferry.FeatureStragglers: true}
@@ -286,8 +286,8 @@
 	assert.Equal(t, len(p.slowWorkers())+p.countLogged(mfsched.MessageRestarted), 0)
 }
 
-// Guards against more tasks that are stopped than usual workers have room for, round after round
-// until the first of them has ended.
+// Guards against more stops of tasks than normal workers have free capacity for: each round until
+// the first stopped run has ended would stop some more.
 func TestRestartsAreLimitedByFreeCapacity(t *testing.T) {
 	p := newSimPool(t, 6)
 	p.submitSteadily(2 * time.Second)
@@ -296,14 +296,14 @@
 	p.submit("victims-a", 5)
 	p.submit("victims-b", 5)
 	p.simulate(100 * time.Millisecond)
-	leaving := p.allButFirst()
-	leaving["w-0"] = true
-	delete(leaving, "w-1")
-	p.step(mfsched.WorkersToEvacuate{Workers: leaving})
+	evacuate := p.allButFirst()
+	evacuate["w-0"] = true
+	delete(evacuate, "w-1")
+	p.step(mfsched.WorkersToEvacuate{Workers: evacuate})
 	p.submit("fill", 14)
 	p.simulate(60 * time.Millisecond)
-	delete(leaving, "w-0")
-	p.step(mfsched.WorkersToEvacuate{Workers: leaving})
+	delete(evacuate, "w-0")
+	p.step(mfsched.WorkersToEvacuate{Workers: evacuate})
 	p.speed["w-0"], p.dropStops["w-0"] = 0.1, true
 	p.simulate(500 * time.Millisecond)
 	assert.Assert(t, p.hasRun("fill", "w-1"))
--- a/mfsched/unavailable.go
+++ b/mfsched/unavailable.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// logUnavailableTasks logs once why a lasting task is away for longer than its users
-// would not notice.
+// logUnavailableTasks logs once, with possible reasons, each lasting task that has been
+// unavailable for so long that it counts as missing.
 func (s *State) logUnavailableTasks(now time.Time) {
 	for _, j := range s.live {
 		if !j.submission.Lasts() {
--- a/mfsched/wait.go
+++ b/mfsched/wait.go
@@ -7,10 +7,10 @@
 	"mothferry/mfshare"
 )
 
-// Backlogs returns the work of each service that waits and can still be of use.
+// Backlogs returns the waiting work of each service, without jobs that are too late.
 func (s *State) Backlogs(now time.Time) map[mothferry.ServiceID]mfshare.Backlog {
 	backlogs := map[mothferry.ServiceID]mfshare.Backlog{}
-	of := func(service mothferry.ServiceID) mfshare.Backlog {
+	backlogOf := func(service mothferry.ServiceID) mfshare.Backlog {
 		b, known := backlogs[service]
 		if !known {
 			b.Work = map[mothferry.AccountID]float64{}
@@ -19,27 +19,27 @@
 	}
 	for _, w := range s.sortedWorkers {
 		if w.listed && !w.Draining {
-			b := of(w.Service)
+			b := backlogOf(w.Service)
 			b.Cores += float64(w.Capacity.Cores) / 1000
 			backlogs[w.Service] = b
 		}
 	}
 	for _, j := range s.live {
 		q := s.queueOf(j)
-		b := of(q.Service)
+		b := backlogOf(q.Service)
 		b.Work[j.submission.Account] += s.waitingWork(j, q, now)
 		backlogs[q.Service] = b
 	}
 	return backlogs
 }
 
-// Waits returns how long work that comes now would wait at least in each service.
+// Waits returns a lower bound for each service on how long work that arrives now would wait.
 func (s *State) Waits(now time.Time) map[mothferry.ServiceID]time.Duration {
 	return mfshare.Waits(s.Backlogs(now), s.fleetCores)
 }
 
-// waitingWork returns the work of a job that waits and can still be of use, in
-// core-seconds.
+// waitingWork returns a job's waiting work in core-seconds. Work that is too late does not count,
+// nor does that of lasting jobs.
 func (s *State) waitingWork(j *job, q Queue, now time.Time) float64 {
 	sum := 0.0
 	for _, o := range j.occurrences {
--- a/mfsched/wait_test.go
+++ b/mfsched/wait_test.go
@@ -9,9 +9,9 @@
 	"mothferry/mfsched"
 )
 
-// Symptom: callers were told that work waits for 16 s, and a tenth of a day's
-// jobs was refused, while two thirds of the machines stood by or were moving.
-// Cause: the wait was worked out from the workers that were listed just then.
+// Guards against waits that are computed only from the workers that are listed at the moment.
+// While two thirds of the machines were on standby or moving, callers were told that work waits
+// for 16 s, and a tenth of the jobs was refused.
 func TestWaitIncludesMachinesThatCanJoin(t *testing.T) {
 	s := newScript(t)
 	s.listWorker("w-1")
