--- a/mfspeed/baseline.go
+++ b/mfspeed/baseline.go
@@ -8,53 +8,53 @@
 	"mothferry"
 )
 
-// Class says which tasks are alike: their estimates are wrong by the same factor.
+// Class identifies tasks of one class: their estimates are wrong by the same factor.
 type Class struct {
-	// Image is what they run; Queue and Step stand for it where it is not told.
+	// Image is what the tasks run; Queue and Step identify them if the image is unknown.
 	Image string
 	Queue mothferry.QueueID
 	Step  int
-	// Remote says that they run away from their data.
+	// Remote says that the tasks run without data locality.
 	Remote bool
 }
 
 const (
-	// maxRunsPerWorker is how many runs of a kind are remembered of each worker, the latest ones: were
-	// they the latest of all workers, those of slow ones, which come last where many start at
-	// once, would be all of them.
+	// maxRunsPerWorker bounds the latest runs of a class that are kept of each worker. If the
+	// latest runs of all workers were kept instead, those of slow workers, which end last where
+	// many tasks start at once, would displace all others.
 	maxRunsPerWorker = 4
-	// maxRunAge is for how long a run is remembered, and so a kind that is not seen again.
+	// maxRunAge is how long a run is kept, and thus a class that has no new runs.
 	maxRunAge = 10 * time.Minute
-	// updateDivisor is the part of a kind's runs that must have changed before what is usual is told
-	// anew.
+	// updateDivisor sets the fraction of a class's runs that must have changed before its baseline
+	// is updated: more than one in 16.
 	updateDivisor = 16
-	// minRuns of leastWorkers workers tell what is usual for a kind.
+	// minRuns of minWorkers workers make a baseline.
 	minRuns    = 8
 	minWorkers = 3
-	// minSpread bounds the spread of a kind below: readings are rounded and late.
+	// minSpread is a lower bound on a class's spread, as readings are rounded and late.
 	minSpread = 0.15
-	// minLogChange is by how much the logarithm of a run's rate must change for its worker to
-	// have changed: beyond what whole percentages make of it.
+	// minLogChange is how much a run's log rate must change to show that its worker's speed has
+	// changed: more than the rounding to whole percentages causes.
 	minLogChange = 0.7
-	// madToStdDev turns a median absolute deviation into a standard deviation.
+	// madToStdDev converts a median absolute deviation to a standard deviation.
 	madToStdDev = 1.4826
 )
 
-// Baselines holds what is usual for each kind. The zero value knows nothing.
+// Baselines holds the baseline of each class. The zero value is empty.
 type Baselines struct {
 	byClass map[Class]*baseline
 }
 
 type baseline struct {
-	// runs holds the latest runs of each worker, the oldest first; count is how many those are,
-	// fresh how many came since the last sum.
+	// runs holds the latest runs of each worker, the oldest first; count is their number,
+	// sinceUpdate how many were added or removed since the last update.
 	runs               map[mothferry.WorkerID][]recordedRun
 	count, sinceUpdate int
-	// median is the median rate, spread the robust standard deviation; known says that there
-	// are runs enough.
+	// median is the median log rate, spread a robust standard deviation; known says that there are
+	// enough runs.
 	median, spread float64
 	known          bool
-	// jobMedians holds the median rate of each job that has runs enough by itself.
+	// jobMedians holds the median log rate of each job that has enough runs of its own.
 	jobMedians map[mothferry.JobID]float64
 }
 
@@ -64,7 +64,7 @@
 	job  mothferry.JobID
 }
 
-// RunInfo is what is known of a run beside its progress.
+// RunInfo describes a run, apart from its progress.
 type RunInfo struct {
 	Class    Class
 	Worker   mothferry.WorkerID
@@ -72,117 +72,116 @@
 	Estimate time.Duration
 }
 
-// Record takes in that a track has a new rate: for what is usual for its kind, once, and for what
-// it tells of its worker.
+// Record records a track's new rate: once for the baseline of its class, and as evidence of its
+// worker's speed.
 //
-// Tasks that take several times as long as others are rare among those that start, and frequent
-// among those that run, the more so when little starts. So a run tells of its worker's speed for
-// as long only as a usual one takes; later, only that it has become slower or faster.
-func (k *Baselines) Record(r RunInfo, t *Track, now time.Time) {
-	k.recordRun(r, t, now)
-	deviation, spread, known := k.Deviation(r.Class, t.rate)
+// Tasks that take several times as long as others are rare among starting tasks, but frequent
+// among running ones, even more so when few tasks start. Therefore a run's rate is evidence only
+// until the expected duration of its class; later, only a change of its rate is.
+func (b *Baselines) Record(r RunInfo, t *Track, now time.Time) {
+	b.recordRun(r, t, now)
+	deviation, spread, known := b.Deviation(r.Class, t.rate)
 	if !known {
 		return
 	}
 	if !t.hasFirst {
 		t.firstDeviation, t.hasFirst = deviation, true
 	}
-	usual, _ := k.Expected(r.Class, r.Estimate)
-	told := observation{spread: spread, job: r.Job, at: now}
+	expected, _ := b.Expected(r.Class, r.Estimate)
+	o := observation{spread: spread, job: r.Job, at: now}
 	switch change := deviation - t.firstDeviation; {
-	case t.elapsed(r.Estimate) <= usual:
-		told.deviation = deviation
-		own, several := k.byClass[r.Class].jobMedians[r.Job]
-		told.conclusive = several && float64(t.rate)-own < -minLogChange
+	case t.elapsed(r.Estimate) <= expected:
+		o.deviation = deviation
+		jobMedian, hasMedian := b.byClass[r.Class].jobMedians[r.Job]
+		o.conclusive = hasMedian && float64(t.rate)-jobMedian < -minLogChange
 	case change < -minLogChange:
-		told.deviation, told.conclusive = change, true
+		o.deviation, o.conclusive = change, true
 	case change <= minLogChange:
 		return
 	}
-	t.observed = told
+	t.observed = o
 }
 
-func (k *Baselines) recordRun(r RunInfo, t *Track, now time.Time) {
+func (b *Baselines) recordRun(r RunInfo, t *Track, now time.Time) {
 	if t.counted || !t.known {
 		return
 	}
 	t.counted = true
-	if k.byClass == nil {
-		k.byClass = map[Class]*baseline{}
+	if b.byClass == nil {
+		b.byClass = map[Class]*baseline{}
 	}
-	v := k.byClass[r.Class]
-	if v == nil {
-		v = &baseline{runs: map[mothferry.WorkerID][]recordedRun{}}
-		k.byClass[r.Class] = v
+	bl := b.byClass[r.Class]
+	if bl == nil {
+		bl = &baseline{runs: map[mothferry.WorkerID][]recordedRun{}}
+		b.byClass[r.Class] = bl
 	}
-	runs := v.runs[r.Worker]
+	runs := bl.runs[r.Worker]
 	if len(runs) == maxRunsPerWorker {
 		runs = slices.Delete(runs, 0, 1)
-		v.count--
+		bl.count--
 	}
-	v.runs[r.Worker] = append(runs, recordedRun{rate: float64(t.rate), at: now, job: r.Job})
-	v.count++
-	v.sinceUpdate++
+	bl.runs[r.Worker] = append(runs, recordedRun{rate: float64(t.rate), at: now, job: r.Job})
+	bl.count++
+	bl.sinceUpdate++
 }
 
-// Expire forgets the runs that were noted long before a time, and the kinds of which no other is
-// known.
-func (k *Baselines) Expire(now time.Time) {
-	for of, v := range k.byClass {
-		v.expire(now.Add(-maxRunAge))
-		if v.count == 0 {
-			delete(k.byClass, of)
+// Expire removes the runs that are too old, and the classes that have no runs left.
+func (b *Baselines) Expire(now time.Time) {
+	for class, bl := range b.byClass {
+		bl.expire(now.Add(-maxRunAge))
+		if bl.count == 0 {
+			delete(b.byClass, class)
 		}
 	}
 }
 
-func (v *baseline) expire(before time.Time) {
-	for worker, runs := range v.runs {
+func (bl *baseline) expire(before time.Time) {
+	for worker, runs := range bl.runs {
 		left := slices.DeleteFunc(runs, func(r recordedRun) bool { return r.at.Before(before) })
-		v.count -= len(runs) - len(left)
-		v.sinceUpdate += len(runs) - len(left)
-		if v.runs[worker] = left; len(left) == 0 {
-			delete(v.runs, worker)
+		bl.count -= len(runs) - len(left)
+		bl.sinceUpdate += len(runs) - len(left)
+		if bl.runs[worker] = left; len(left) == 0 {
+			delete(bl.runs, worker)
 		}
 	}
 }
 
-// Deviation returns a rate's difference from what is usual for its kind, with the spread of
-// such differences among runs of the kind. It reports whether the kind is known.
-func (k *Baselines) Deviation(of Class, rate LogRate) (deviation, spread float64, known bool) {
-	v := k.byClass[of]
-	if v == nil {
+// Deviation returns a log rate's difference from the baseline of its class, and the spread of such
+// differences among the runs of the class. It reports whether the class has a baseline.
+func (b *Baselines) Deviation(class Class, rate LogRate) (deviation, spread float64, known bool) {
+	bl := b.byClass[class]
+	if bl == nil {
 		return 0, 0, false
 	}
-	v.update()
-	return float64(rate) - v.median, v.spread, v.known
+	bl.update()
+	return float64(rate) - bl.median, bl.spread, bl.known
 }
 
-func (v *baseline) update() {
-	if v.sinceUpdate*updateDivisor <= v.count && (v.known || v.sinceUpdate == 0) {
+func (bl *baseline) update() {
+	if bl.sinceUpdate*updateDivisor <= bl.count && (bl.known || bl.sinceUpdate == 0) {
 		return
 	}
-	v.sinceUpdate = 0
-	if v.known = v.count >= minRuns && len(v.runs) >= minWorkers; !v.known {
+	bl.sinceUpdate = 0
+	if bl.known = bl.count >= minRuns && len(bl.runs) >= minWorkers; !bl.known {
 		return
 	}
-	rates := make([]float64, 0, v.count)
-	for _, runs := range v.runs {
+	rates := make([]float64, 0, bl.count)
+	for _, runs := range bl.runs {
 		for _, r := range runs {
 			rates = append(rates, r.rate)
 		}
 	}
-	v.median = median(rates)
+	bl.median = median(rates)
 	for i := range rates {
-		rates[i] = math.Abs(rates[i] - v.median)
+		rates[i] = math.Abs(rates[i] - bl.median)
 	}
-	v.spread = max(minSpread, madToStdDev*median(rates))
-	v.updateJobs()
+	bl.spread = max(minSpread, madToStdDev*median(rates))
+	bl.updateJobs()
 }
 
-func (v *baseline) updateJobs() {
+func (bl *baseline) updateJobs() {
 	rates, workers := map[mothferry.JobID][]float64{}, map[mothferry.JobID]int{}
-	for _, runs := range v.runs {
+	for _, runs := range bl.runs {
 		for i, r := range runs {
 			rates[r.job] = append(rates[r.job], r.rate)
 			if !slices.ContainsFunc(runs[:i], func(o recordedRun) bool { return o.job == r.job }) {
@@ -190,10 +189,10 @@
 			}
 		}
 	}
-	v.jobMedians = map[mothferry.JobID]float64{}
+	bl.jobMedians = map[mothferry.JobID]float64{}
 	for job, list := range rates {
 		if len(list) >= minRuns && workers[job] >= minWorkers {
-			v.jobMedians[job] = median(list)
+			bl.jobMedians[job] = median(list)
 		}
 	}
 }
@@ -204,13 +203,13 @@
 	return values[len(values)/2]
 }
 
-// Expected returns how long a task of a kind usually takes by its estimate. It reports whether
-// the kind is known.
-func (k *Baselines) Expected(of Class, estimate time.Duration) (time.Duration, bool) {
-	v := k.byClass[of]
-	if v == nil {
+// Expected returns how long a task of a class usually takes, given its estimate. It reports
+// whether the class has a baseline.
+func (b *Baselines) Expected(class Class, estimate time.Duration) (time.Duration, bool) {
+	bl := b.byClass[class]
+	if bl == nil {
 		return 0, false
 	}
-	v.update()
-	return time.Duration(float64(estimate) * math.Exp(-v.median)), v.known
+	bl.update()
+	return time.Duration(float64(estimate) * math.Exp(-bl.median)), bl.known
 }
--- a/mfspeed/evidence.go
+++ b/mfspeed/evidence.go
@@ -10,89 +10,88 @@
 )
 
 const (
-	// maxEndedRuns bounds the ended runs that count for a worker's speed.
+	// maxEndedRuns bounds the ended runs that are evidence of a worker's speed.
 	maxEndedRuns = 16
-	// runningMaxAge is how long a rate tells of a worker whose run goes on: a few looks. endedFor is
-	// the same once it has ended: where runs end, there is news often.
+	// runningMaxAge is how long the rate of a running run is evidence: a few polls. endedMaxAge is
+	// the same for an ended run. It is shorter because new evidence is frequent where runs end.
 	runningMaxAge = time.Second
 	endedMaxAge   = 300 * time.Millisecond
-	// upperStdErrors is how many standard errors Most adds: a usual worker that counts as slow is of less
-	// use to its pool for seconds.
+	// upperStdErrors is how many standard errors UpperBound adds. A normal worker that is taken
+	// for slow is of less use to its pool for seconds.
 	upperStdErrors = 2
-	// fastRunDivisor is the part of a job's runs that Fast leaves out at the top, fastJobs that of jobs:
-	// of those there are fewer.
+	// fastRunDivisor and fastJobDivisor set the fractions that Speed.Fast leaves out at the top: a
+	// fifth of a job's runs and a third of the jobs, of which there are fewer.
 	fastRunDivisor, fastJobDivisor = 5, 3
 )
 
-// observation is what a run told of its worker's speed at a time.
+// observation is the evidence of a worker's speed that one run gave at a time.
 type observation struct {
 	deviation, spread float64
 	at                time.Time
-	// job is that of the run; alone says that it tells without another job's: the run is slower
-	// than others of its job, or than it was.
+	// job is the run's job; conclusive says that no evidence of another job is needed, because the
+	// run is slower than others of its job or than it was before.
 	job        mothferry.JobID
 	conclusive bool
 }
 
-// EndedRuns is what the runs that ended on a worker told of its speed.
+// EndedRuns holds the evidence of the latest runs that ended on a worker.
 type EndedRuns struct {
 	observations []observation
 	next         int
 }
 
-// Add takes in a run that has ended.
-func (w *EndedRuns) Add(t *Track) {
+// Add adds the evidence of a run that has ended.
+func (r *EndedRuns) Add(t *Track) {
 	if t.observed.at.IsZero() {
 		return
 	}
-	if len(w.observations) < maxEndedRuns {
-		w.observations = append(w.observations, t.observed)
+	if len(r.observations) < maxEndedRuns {
+		r.observations = append(r.observations, t.observed)
 		return
 	}
-	w.observations[w.next] = t.observed
-	w.next = (w.next + 1) % maxEndedRuns
+	r.observations[r.next] = t.observed
+	r.next = (r.next + 1) % maxEndedRuns
 }
 
-// Evidence gathers what runs tell of a worker's speed at a moment. It may be used again
-// after Reset.
+// Evidence gathers the current evidence of a worker's speed. It may be reused after Reset.
 type Evidence struct{ observations []observation }
 
-// Reset empties the evidence.
+// Reset removes all evidence.
 func (e *Evidence) Reset() { e.observations = e.observations[:0] }
 
-// Add adds what a run that goes on has told lately.
+// Add adds a running run's evidence if it is recent.
 func (e *Evidence) Add(t *Track, now time.Time) { e.add(t.observed, runningMaxAge, now) }
 
-// AddEnded adds what the runs that ended on a worker had told lately.
-func (e *Evidence) AddEnded(w *EndedRuns, now time.Time) {
-	for _, v := range w.observations {
-		e.add(v, endedMaxAge, now)
+// AddEnded adds the recent evidence of the runs that ended on a worker.
+func (e *Evidence) AddEnded(r *EndedRuns, now time.Time) {
+	for _, o := range r.observations {
+		e.add(o, endedMaxAge, now)
 	}
 }
 
-func (e *Evidence) add(v observation, within time.Duration, now time.Time) {
-	if !v.at.IsZero() && now.Sub(v.at) < within {
-		e.observations = append(e.observations, v)
+func (e *Evidence) add(o observation, maxAge time.Duration, now time.Time) {
+	if !o.at.IsZero() && now.Sub(o.at) < maxAge {
+		e.observations = append(e.observations, o)
 	}
 }
 
-// Speed is a worker's speed relative to its peers: 1 is usual.
+// Speed is a worker's speed relative to its peers: 1 is normal.
 type Speed struct {
-	// Runs counts the runs that tell it; zero if nothing is known.
+	// Runs counts the runs that are evidence of it; zero if the speed is unknown.
 	Runs int
-	// Jobs counts the jobs whose runs those are. Alone says that one of them tells it without
-	// another.
+	// Jobs counts the jobs of these runs. Conclusive says that the evidence of one of them needs
+	// no other job's.
 	Jobs       int
 	Conclusive bool
-	// Relative is the median, Fast that of the jobs that are nearly the fastest, each by those of
-	// its runs that are. A usual worker with some tasks that take long, or a job whose tasks all
-	// do, has a low median, and a usual Fast.
+	// Relative is the median over the runs. Fast is an upper quantile over the jobs of an upper
+	// quantile over each job's runs. A normal worker with some tasks that take long, or a job
+	// whose tasks all do, has a low median but a normal Fast.
 	Relative, Fast float64
-	// Uncertainty is the standard error of their logarithms.
+	// Uncertainty is the standard error of the logarithms of both.
 	Uncertainty float64
 }
 
-// Speed returns what the evidence tells, in whatever order it was added.
+// Speed returns the speed that the evidence shows. It doesn't depend on the order of additions.
 func (e *Evidence) Speed() Speed {
 	n := len(e.observations)
 	if n == 0 {
@@ -124,8 +123,8 @@
 	return s
 }
 
-// UpperBound returns the highest speed that Fast stands for, with its uncertainty.
+// UpperBound returns an upper bound on Fast: upperStdErrors standard errors above it.
 func (s Speed) UpperBound() float64 { return s.Fast * math.Exp(upperStdErrors*s.Uncertainty) }
 
-// LowerBound returns the lowest speed that Fast stands for, with its uncertainty.
+// LowerBound returns a lower bound on Fast: one standard error below it.
 func (s Speed) LowerBound() float64 { return s.Fast * math.Exp(-s.Uncertainty) }
