--- a/mfsched/account.go
+++ b/mfsched/account.go
@@ -9,7 +9,7 @@
 
 // Account is a client account's entry in the config in force.
 type Account struct {
-	// Weight is the account's rate in jobs a second.
+	// Weight is the account's rate in jobs a second, and its weight where capacity is divided.
 	Weight float64
 	// Limit bounds the resources of its runs on all workers; a resource that is zero is not
 	// bounded.
--- a/mfsched/allocation.go
+++ b/mfsched/allocation.go
@@ -30,8 +30,8 @@
 	}
 	sum := mfdemand.Amount{}
 	for i := range j.submission.Steps {
-		of := &j.submission.Steps[i]
-		sum = sum.Add(mfdemand.AmountOf(of.Need).Times(of.Estimate.Seconds() * float64(of.Count)))
+		spec := &j.submission.Steps[i]
+		sum = sum.Add(mfdemand.AmountOf(spec.Need).Times(spec.Estimate.Seconds() * float64(spec.Count)))
 	}
 	f.cores.Add(sum.Cores, acceptedDecayTime, now)
 	f.memory.Add(sum.Memory, acceptedDecayTime, now)
--- a/mfsched/capacity_test.go
+++ b/mfsched/capacity_test.go
@@ -32,8 +32,8 @@
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
 
-// Guards against the same with a run whose task was completed elsewhere: a stop is ordered, and
-// the run may be there until the worker has reported that it is not.
+// Guards against reuse of the capacity of a run whose task was completed elsewhere: a stop is
+// ordered, and the run may be there until the worker has reported that it is not.
 func TestSupersededRunsUseCapacityUntilTheyEnd(t *testing.T) {
 	s, name := runningOn(t, "w-1")
 	s.listWorker("w-2")
--- a/mfsched/demand.go
+++ b/mfsched/demand.go
@@ -11,13 +11,13 @@
 )
 
 // coreSeconds returns the core-seconds of one task of a step.
-func coreSeconds(of *mfjob.Step) float64 {
-	return float64(of.Need.Cores) / 1000 * of.Estimate.Seconds()
+func coreSeconds(spec *mfjob.Step) float64 {
+	return float64(spec.Need.Cores) / 1000 * spec.Estimate.Seconds()
 }
 
 // taskWork returns the work of one task of a step, in core-seconds and GiB-seconds.
-func taskWork(of *mfjob.Step) mfdemand.Amount {
-	return mfdemand.AmountOf(of.Need).Times(of.Estimate.Seconds())
+func taskWork(spec *mfjob.Step) mfdemand.Amount {
+	return mfdemand.AmountOf(spec.Need).Times(spec.Estimate.Seconds())
 }
 
 // Demands returns the demand for each service.
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -293,8 +293,8 @@
 }
 
 // stallTimeout returns how long a task may make no progress before it counts as hung. If its class
-// has a baseline, it follows from the expected time per percent. A task that has a checkpoint or
-// was stopped as stuck before gets the longer fixed timeout.
+// has a baseline, it follows from the expected time per percent. Otherwise, and for a task that has
+// a checkpoint or was stopped as stuck before, it is longer.
 func (s *State) stallTimeout(t *task) time.Duration {
 	timeout := stuckAfter + time.Duration(stuckEstimateShare*float64(t.step.spec.Estimate))
 	if s.Off[mothferry.FeatureStragglers] || !t.measuresSpeed() || t.stuckStops > 0 || t.checkpoint != "" {
--- a/mfsched/straggler_bench_test.go
+++ b/mfsched/straggler_bench_test.go
@@ -32,17 +32,17 @@
 		s.step(mfsched.WorkerListed{Worker: w})
 	}
 	for i := range jobs {
-		of := submission(s.now, 10)
-		of.Steps[0].Estimate = taskDuration
-		s.step(mfsched.JobFound{Job: jobID(fmt.Sprintf("j-%d", i)), Submission: of})
+		job := submission(s.now, 10)
+		job.Steps[0].Estimate = taskDuration
+		s.step(mfsched.JobFound{Job: jobID(fmt.Sprintf("j-%d", i)), Submission: job})
 	}
 	advance := func(d time.Duration) {
 		for _, c := range takeCommands[mfsched.Start](s) {
 			runs[c.At.Worker] = append(runs[c.At.Worker], &simRun{task: c.Order.Task, run: c.Order.Run})
 			s.step(mfsched.StartAnswered{Worker: c.At.Worker, Sent: s.now, Task: c.Order.Task, Run: c.Order.Run, Result: mfsched.ResultDone})
 		}
-		for id, of := range runs {
-			for _, r := range of {
+		for id, list := range runs {
+			for _, r := range list {
 				r.done = min(0.99, r.done+float64(d)/float64(taskDuration)*speed[id])
 			}
 		}
