--- a/mfdecay/sum.go
+++ b/mfdecay/sum.go
@@ -1,4 +1,4 @@
-// Package mfdecay keeps sums that decay with time, such as rates of events.
+// Package mfdecay provides sums that decay exponentially with time, such as rates of events.
 package mfdecay
 
 import (
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Sum is a sum that decays. The zero value is an empty sum. Memory is the time in which
-// what was added falls to 1/e; one sum is always used with the same memory.
+// Sum is a decaying sum. The zero value is an empty sum. The decay time is the time in which
+// the sum falls to 1/e; a sum is always used with the same one.
 type Sum struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
-// Value returns what is left of all that was added.
-func (s *Sum) Value(memory time.Duration, now time.Time) float64 {
-	if !s.at.IsZero() {
-		s.value *= math.Exp(-float64(now.Sub(s.at)) / float64(memory))
+// Value returns the sum as of now.
+func (s *Sum) Value(decayTime time.Duration, now time.Time) float64 {
+	if !s.updatedAt.IsZero() {
+		s.value *= math.Exp(-float64(now.Sub(s.updatedAt)) / float64(decayTime))
 	}
-	s.at = now
+	s.updatedAt = now
 	return s.value
 }
 
-// Add adds an amount.
-func (s *Sum) Add(amount float64, memory time.Duration, now time.Time) {
-	s.value = s.Value(memory, now) + amount
+// Add adds an amount to the sum as of now.
+func (s *Sum) Add(amount float64, decayTime time.Duration, now time.Time) {
+	s.value = s.Value(decayTime, now) + amount
 }
 
-// Rate returns how much was added a second lately.
-func (s *Sum) Rate(memory time.Duration, now time.Time) float64 {
-	return s.Value(memory, now) / memory.Seconds()
+// Rate returns the amount added per second, lately.
+func (s *Sum) Rate(decayTime time.Duration, now time.Time) float64 {
+	return s.Value(decayTime, now) / decayTime.Seconds()
 }
--- a/mfdemand/amount.go
+++ b/mfdemand/amount.go
@@ -2,10 +2,9 @@
 
 import "mothferry"
 
-// Amount is how much of a machine's resources tasks take.
+// Amount is an amount of a machine's resources.
 type Amount struct {
-	// Cores is in cores and Memory in GiB; where an amount is of work, they are in
-	// core-seconds and GiB-seconds.
+	// Cores is in cores and Memory in GiB; for work they are in core-seconds and GiB-seconds.
 	Cores, Memory float64
 }
 
@@ -34,8 +33,8 @@
 	return Amount{Cores: min(a.Cores, b.Cores), Memory: min(a.Memory, b.Memory)}
 }
 
-// UsableCores returns how many of an amount's cores work of a mix can use: memory may bind
-// before them.
+// UsableCores returns how many of an amount's cores work with the given mix of resources can
+// use: memory may run out first.
 func (a Amount) UsableCores(mix Amount) float64 {
 	if mix.Cores <= 0 || mix.Memory <= 0 || a.Memory <= 0 {
 		return a.Cores
--- a/mfdemand/arrivals.go
+++ b/mfdemand/arrivals.go
@@ -7,40 +7,39 @@
 	"mothferry/mfdecay"
 )
 
-// The load that the forecast answers: the demand of a pool rises over some five seconds to five
-// times its mean and falls again, while a machine that is sent to it takes two
-// seconds until it works. Sized by what comes now, a pool is two seconds behind
-// all the way up, and its jobs are late though the fleet has room.
+// The demand of a pool rises over about five seconds to five times its mean and falls again,
+// while a machine sent to the pool takes two seconds until it works. Sized by current
+// arrivals, a pool would lag two seconds behind the whole rise, and its jobs would be late
+// although the fleet has free capacity.
 
-// Figures of the forecast.
 const (
-	// fastDecayTime and slowMemory are how long arrivals count in two rates. A rate
-	// with a memory of so long is as old as that where the demand rises evenly, so
-	// that the difference of both shows how fast it rises.
+	// fastDecayTime and slowDecayTime are the decay times of two arrival rates. A rate lags
+	// behind a steady rise by its decay time, so that the difference of the two shows how fast
+	// the demand rises.
 	fastDecayTime = 500 * time.Millisecond
 	slowDecayTime = 1500 * time.Millisecond
-	// workDecayTime is how long a job counts in the mean work of its service's jobs:
-	// long, as few wide ones have much of the work.
+	// workDecayTime is that of the mean work of a service's jobs: long, as a few wide jobs
+	// make up much of the work.
 	workDecayTime = 20 * time.Second
-	// ForecastHorizon is how far ahead it looks: a move takes 1.5 s, and its worker
-	// is listed and looked at within half a second more.
-	// Looking a second further covers what machines need to run empty; beyond that it
-	// is wrong by more where a rise ends.
+	// ForecastHorizon is how far ahead demand is forecast: a move takes 1.5 s, and its worker
+	// is listed and polled within another half second. One second more covers the time that
+	// machines need to drain; a longer horizon errs more where a rise ends.
 	ForecastHorizon = 3 * time.Second
 	// noiseDeviations is by how many standard deviations the rates must differ before that
-	// counts as a change of demand: single jobs come at random.
+	// counts as a change of demand: single jobs arrive at random.
 	noiseDeviations = 0.5
 )
 
-// Arrivals is what came lately for a service. The zero value is ready for use.
+// Arrivals estimates the rate and work of the jobs that arrive for a service. The zero value
+// is ready for use.
 type Arrivals struct {
 	// fast and slow count jobs.
 	fast, slow mfdecay.Sum
-	// jobs, cores and memory make the mean work of a job.
+	// jobs, cores and memory give the mean work of a job.
 	jobs, cores, memory mfdecay.Sum
 }
 
-// Add takes in a job that came, of so many core-seconds and GiB-seconds.
+// Add records the arrival of a job with its work in core-seconds and GiB-seconds.
 func (a *Arrivals) Add(work Amount, now time.Time) {
 	a.fast.Add(1, fastDecayTime, now)
 	a.slow.Add(1, slowDecayTime, now)
@@ -49,8 +48,8 @@
 	a.memory.Add(work.Memory, workDecayTime, now)
 }
 
-// meanJobWork returns the mean work of a job, in core-seconds and GiB-seconds; zero if
-// none has come.
+// meanJobWork returns the mean work of a job, in core-seconds and GiB-seconds; zero if none
+// has arrived.
 func (a *Arrivals) meanJobWork(now time.Time) Amount {
 	jobs := a.jobs.Value(workDecayTime, now)
 	if jobs == 0 {
@@ -59,9 +58,9 @@
 	return Amount{Cores: a.cores.Value(workDecayTime, now) / jobs, Memory: a.memory.Value(workDecayTime, now) / jobs}
 }
 
-// Forecast returns which cores and memory keep up with the jobs that will come in a
-// while. The number of jobs times their mean work varies far less than the work that
-// just came.
+// Forecast returns the cores and memory that keep up with the jobs that arrive after the time
+// ahead. The number of jobs times their mean work varies far less than the work that has just
+// arrived.
 func (a *Arrivals) Forecast(now time.Time, ahead time.Duration) Amount {
 	fast, slow := a.fast.Rate(fastDecayTime, now), a.slow.Rate(slowDecayTime, now)
 	change := significantChange(fast-slow, slow)
@@ -73,10 +72,10 @@
 	return a.meanJobWork(now).Times(rate)
 }
 
-// significantChange returns what is left of a difference from a rate beyond what random
+// significantChange returns the part of a difference from a rate that exceeds what random
 // arrivals alone would show.
 func significantChange(difference, rate float64) float64 {
-	// The variance of a decaying rate is the rate over twice its memory.
+	// The variance of a decaying rate is the rate over twice its decay time.
 	noise := noiseDeviations * math.Sqrt(rate/(2*fastDecayTime.Seconds()))
 	switch {
 	case difference > noise:
--- a/mfdemand/arrivals_test.go
+++ b/mfdemand/arrivals_test.go
@@ -10,7 +10,7 @@
 	"mothferry/mfdemand"
 )
 
-// The forecast must hold memory in the same proportion to cores as the jobs that came.
+// The forecast must have the same proportion of memory to cores as the jobs that arrived.
 func TestMemoryIsForecastLikeCores(t *testing.T) {
 	var a mfdemand.Arrivals
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/mfdemand/demand.go
+++ b/mfdemand/demand.go
@@ -1,22 +1,23 @@
-// Package mfdemand holds what services are asked for: the work that comes, forecast for
-// the time until machines could be there, and the work that waits.
+// Package mfdemand describes the demand for services: arriving work, forecast for the time
+// when machines sent now could be there, and waiting work.
 package mfdemand
 
-// Demand is what a service is asked for.
+// Demand is the demand for a service.
 type Demand struct {
-	// Arriving is what keeps up with the jobs that come now, Coming with those that
-	// come once machines could be there that are sent now.
+	// Arriving is the capacity that keeps up with the jobs that arrive now, Forecast with
+	// those that arrive once machines sent now could be there.
 	Arriving, Forecast Amount
-	// Running is what tasks have that run and end by themselves.
+	// Running is the capacity taken by assigned tasks that end by themselves.
 	Running Amount
-	// ReadyWork is the work whose turn has come and that waits, in core-seconds and
-	// GiB-seconds, and Ready what it could use at once; both without what is hopeless.
+	// ReadyWork is the waiting work whose dependencies are done, in core-seconds and
+	// GiB-seconds, and Ready the capacity it could use at once; both without work that is too
+	// late to be of use.
 	ReadyWork, Ready Amount
-	// OnTimeWork is the part of ReadyWork that can still be in time, PromptReady that of
+	// OnTimeWork is the part of ReadyWork that can still be on time, OnTimeReady that of
 	// Ready.
 	OnTimeWork, OnTimeReady Amount
-	// Lasting is what lasting tasks ask for.
+	// Lasting is the capacity that lasting tasks need.
 	Lasting Amount
-	// MinWorkers is the number of workers that the most spread lasting step needs.
+	// MinWorkers is the number of workers that the most widely spread lasting step needs.
 	MinWorkers int
 }
--- a/mfqueue/queue.go
+++ b/mfqueue/queue.go
@@ -1,5 +1,5 @@
-// Package mfqueue holds the config in force of a fleet that runs jobs: its
-// queues, which requests belong to which, and its services.
+// Package mfqueue holds the config in force of a fleet that runs jobs: its queues, the
+// requests that belong to each, and its services.
 package mfqueue
 
 import (
@@ -21,8 +21,7 @@
 	// Priority 0 comes first.
 	Priority    int
 	MaxAttempts int
-	// Stretch times a job's longest chain of work, and Latency more, is the
-	// time in which it should be completed.
+	// A job should be completed within Stretch times its critical path plus Latency.
 	Stretch float64
 	Latency time.Duration
 	// Timeout is how long a request to the queue may take.
@@ -38,7 +37,7 @@
 	ID mothferry.ServiceID
 	// Standby says that the pool's machines are off and cost nothing.
 	Standby bool
-	// EnforcesCapacity says that its workers refuse what does not fit.
+	// EnforcesCapacity says that its workers refuse tasks that do not fit.
 	EnforcesCapacity bool
 }
 
@@ -60,8 +59,8 @@
 	Accounts *mfaccount.Directory
 }
 
-// Match returns the queue of a request and what follows the queue's prefix in
-// its path. The longest prefix wins.
+// Match returns the queue of a request and the rest of its path after the queue's prefix. The
+// longest prefix wins.
 func (c *Config) Match(host, path string) (Queue, string, bool) {
 	var best *Queue
 	for i := range c.Queues {
--- a/mfsched/limits.go
+++ b/mfsched/limits.go
@@ -19,7 +19,7 @@
 	StopTimeout time.Duration
 	// FinishedJobRetention is how long the state of a finished job can be queried.
 	FinishedJobRetention time.Duration
-	// UnavailableAfter is how long a lasting task may be away from work before it counts as
+	// UnavailableAfter is how long a lasting task may fail to serve before it counts as
 	// unavailable.
 	UnavailableAfter time.Duration
 	// MaxEndsListed is how many ends a poll lists at most; zero for no bound.
--- a/mfsched/pace.go
+++ b/mfsched/pace.go
@@ -4,8 +4,8 @@
 
 const (
 	// paceDownThreshold is the fraction of its target at which a serving task's tail latency
-	// throttles the tasks beside it that fill, paceUpThreshold the fraction below which they
-	// may speed up again.
+	// throttles the tasks that fill on the same worker, paceUpThreshold the fraction below
+	// which they may speed up again.
 	paceDownThreshold = 0.85
 	paceUpThreshold   = 0.6
 	// paceUpInterval and paceUpStep are how often, and by how many percent, they speed up
@@ -14,8 +14,9 @@
 	paceUpStep     = 20
 )
 
-// adjustPace throttles the tasks that fill on a worker while a serving task there is near its
-// target, and speeds them up again once all serving tasks are well below theirs.
+// adjustPace throttles the tasks on a worker that fill idle processor time while a serving
+// task there is near its target, and speeds them up again once all serving tasks are well
+// below theirs.
 func (s *State) adjustPace(w *worker, now time.Time) {
 	worst, serving := 0.0, false
 	for _, t := range w.tasks {
--- a/mfshare/admission.go
+++ b/mfshare/admission.go
@@ -12,64 +12,67 @@
 
 // Reasons.
 const (
-	// ReasonLimit: its account's limit on what runs keeps its work waiting.
+	// ReasonLimit: the account's limit on running tasks keeps its work waiting.
 	ReasonLimit Reason = "limit"
-	// ReasonShare: its account's share of the service does not do it in time.
+	// ReasonShare: the account's share of the service can't complete the job in time.
 	ReasonShare Reason = "share"
 )
 
-// Request is a job that is handed in.
+// Request is a submitted job.
 type Request struct {
 	Flow
-	// Work is what it takes, in core-seconds.
+	// Work is the job's work in core-seconds.
 	Work float64
-	// CriticalPath is its longest chain of work, Aim in what time it should be completed.
+	// CriticalPath is the duration of its longest chain of work, Objective the time in which
+	// it should be completed.
 	CriticalPath, Objective time.Duration
 }
 
-// Decision is what a gate decides on a request.
+// Decision is the result for a request.
 type Decision struct {
-	// Refused is empty if the job is taken in.
+	// Refused is empty if the job is accepted.
 	Refused Reason
-	// Wait is how long it would wait, Share the cores that are due to its account.
+	// Wait is how long the job would wait, Share the cores to which its account is entitled.
 	Wait  time.Duration
 	Share float64
-	// RetryAfter is in what time it could be in time.
+	// RetryAfter is when the job could be on time if it is submitted again.
 	RetryAfter time.Duration
 }
 
-// Figures of a gate.
 const (
-	// maxWaitFraction is which part of what an objective leaves beside a job's own work its wait may
-	// take. A line as long as all of it has each job in it miss by a little.
+	// maxWaitFraction is the fraction of the time between a job's critical path and its
+	// objective that its wait may take. A queue as long as all of that time has each job in it
+	// miss its objective by a little.
 	maxWaitFraction = 0.6
-	// rateDecayTime is how long accepted work counts in this host's part of its account's.
+	// rateDecayTime is how long accepted work counts when this host's fraction of its
+	// account's work is estimated.
 	rateDecayTime = 3 * time.Second
-	// minHostFraction bounds from below what part of an account's work a host takes itself for:
-	// of few jobs it can't tell.
+	// minHostFraction is the lower bound of that fraction: a few jobs are no basis for a
+	// smaller one.
 	minHostFraction = 0.02
-	// reportDelay is how long accepted work takes until the owner's word counts it.
+	// reportDelay is how long accepted work takes until the owner's allocation includes it.
 	reportDelay = 150 * time.Millisecond
-	// acceptedRetention is how long a gate remembers what it accepted: until any word that is
-	// still used counts it.
+	// acceptedRetention is how long a controller remembers the work that it accepted: until
+	// every allocation that is still used includes it.
 	acceptedRetention = 3 * time.Second
-	// maxRetryHorizon bounds how far ahead a gate spreads those that it refuses.
+	// maxRetryHorizon bounds how far ahead the retry times of refused jobs are staggered.
 	maxRetryHorizon = 10 * time.Second
-	// maxFlows bounds what a gate remembers.
+	// maxFlows bounds the flows that a controller remembers.
 	maxFlows = 4096
 )
 
-// AdmissionController decides at one host which jobs are taken in, by the owner's last word and what it
-// has accepted itself since. The zero value is ready for use; one goroutine uses it at a time.
+// AdmissionController decides at one host which jobs are accepted, by the owner's last
+// allocation and the work that the host has accepted since. The zero value is ready for use;
+// it is not safe for concurrent use.
 type AdmissionController struct {
 	flows map[Flow]*flowHistory
 }
 
-// flowHistory is what a gate let through of a flow.
+// flowHistory is what a controller has accepted of a flow.
 type flowHistory struct {
 	accepted []acceptedWork
 	rate     mfdecay.Sum
-	// nextRetry is up to when those have been told to come back that were refused.
+	// nextRetry is the earliest retry time for the next refused job.
 	nextRetry time.Time
 }
 
@@ -78,114 +81,116 @@
 	work float64
 }
 
-// Decide decides on a request. Told is the owner's last word, since when this host has it.
+// Decide accepts or refuses a request. Published is the owner's last allocation, which this
+// host has had since the given time.
 //
-// The load it answers: an account sends more than its share can do in time. All of it
-// taken in would make all of it late, and a caller that is turned away at once can come
-// back when there is room. A few dozen hosts decide by the same word: each counts what it
-// accepted since, in proportion to its part of what the account had accepted.
-func (g *AdmissionController) Decide(told Allocation, since time.Time, r Request, now time.Time) Decision {
-	p := g.historyOf(r.Flow, now)
-	e, known := told[r.Flow]
-	a := Decision{Share: e.Rate}
+// If all work of an account that sends more than its share were accepted, all of it would be
+// late; a caller that is refused at once can retry when there is capacity. A few dozen hosts
+// decide by the same allocation: each adds what it has accepted since, scaled by its fraction
+// of the account's accepted work.
+func (c *AdmissionController) Decide(published Allocation, since time.Time, r Request, now time.Time) Decision {
+	h := c.historyOf(r.Flow, now)
+	f, known := published[r.Flow]
+	d := Decision{Share: f.Rate}
 	if known {
-		a.Wait = e.expectedWait(r.Work, p.currentWait(e, since, now))
+		d.Wait = f.expectedWait(r.Work, h.currentWait(f, since, now))
 	}
-	if !known || float64(a.Wait) <= maxWaitFraction*float64(r.Objective-r.CriticalPath) {
-		p.accepted = append(p.accepted, acceptedWork{at: now, work: r.Work})
-		p.rate.Add(r.Work, rateDecayTime, now)
-		return a
+	if !known || float64(d.Wait) <= maxWaitFraction*float64(r.Objective-r.CriticalPath) {
+		h.accepted = append(h.accepted, acceptedWork{at: now, work: r.Work})
+		h.rate.Add(r.Work, rateDecayTime, now)
+		return d
 	}
-	a.Refused = ReasonShare
-	if e.AtLimit {
-		a.Refused = ReasonLimit
+	d.Refused = ReasonShare
+	if f.AtLimit {
+		d.Refused = ReasonLimit
 	}
-	a.RetryAfter = p.retryAfter(e, a.Wait-time.Duration(maxWaitFraction*float64(r.Objective-r.CriticalPath)), r.Work, now)
-	return a
+	d.RetryAfter = h.retryAfter(f, d.Wait-time.Duration(maxWaitFraction*float64(r.Objective-r.CriticalPath)), r.Work, now)
+	return d
 }
 
-// agingWork is the work by which a job that waits goes before one that comes a second later
-// and is as large: placement weighs so much work like a second of slack.
+// agingWork is the work in core-seconds by which a waiting job ranks ahead of an equally large
+// one that arrives a second later: placement weighs that much work like a second of slack.
 const agingWork = 25
 
-// maxOvertakingFraction bounds which part of a rate smaller jobs that come later take: large jobs would
-// otherwise never be taken in under lasting pressure.
+// maxOvertakingFraction bounds the fraction of a rate that smaller jobs arriving later take:
+// large jobs would otherwise never be accepted under lasting overload.
 const maxOvertakingFraction = 0.6
 
-// expectedWait returns how long a job waits of so much work. What waits already goes before it
-// unless it is larger; of what comes meanwhile only what is smaller does.
-func (e FlowShare) expectedWait(work float64, wait time.Duration) time.Duration {
-	if e.MeanJobWork <= 0 || e.Rate <= 0 {
+// expectedWait returns how long a job of the given work waits. Queued jobs go before it unless
+// they are larger; of those that arrive meanwhile only smaller ones do.
+func (f FlowShare) expectedWait(work float64, wait time.Duration) time.Duration {
+	if f.MeanJobWork <= 0 || f.Rate <= 0 {
 		return wait
 	}
-	left := 1 - min(maxOvertakingFraction, e.workFractionBelow(work-agingWork/2)*e.AcceptedRate/e.Rate)
-	return min(maxWait, time.Duration(float64(wait)*e.workFractionBelow(work+agingWork)/left))
+	rest := 1 - min(maxOvertakingFraction, f.workFractionBelow(work-agingWork/2)*f.AcceptedRate/f.Rate)
+	return min(maxWait, time.Duration(float64(wait)*f.workFractionBelow(work+agingWork)/rest))
 }
 
-// workFractionBelow returns which part of the account's work is in jobs below a size, which are taken
-// for exponentially distributed about their mean.
-func (e FlowShare) workFractionBelow(work float64) float64 {
-	size := max(0, work) / e.MeanJobWork
+// workFractionBelow returns the fraction of the account's work in jobs below a size. Sizes are
+// assumed to be exponentially distributed about their mean.
+func (f FlowShare) workFractionBelow(work float64) float64 {
+	size := max(0, work) / f.MeanJobWork
 	return 1 - (1+size)*math.Exp(-size)
 }
 
-// currentWait returns an entry's wait as of now: less by what was done since, and more by what
-// was accepted.
-func (p *flowHistory) currentWait(e FlowShare, since, now time.Time) time.Duration {
+// currentWait returns a flow's wait as of now: the published wait less the time since, plus
+// the time for the work accepted since.
+func (h *flowHistory) currentWait(f FlowShare, since, now time.Time) time.Duration {
 	own, first := 0.0, 0.0
-	for _, t := range p.accepted {
-		if t.at.After(since.Add(-reportDelay)) {
+	for _, a := range h.accepted {
+		if a.at.After(since.Add(-reportDelay)) {
 			if first == 0 {
-				first = t.work
+				first = a.work
 			}
-			own += t.work
+			own += a.work
 		}
 	}
-	// One job may as well have come by chance: only what is beyond it tells of other hosts.
-	shown := (own - first) / p.hostFraction(e, now)
-	usual := e.AcceptedRate * now.Sub(since).Seconds()
-	return max(0, e.Wait-now.Sub(since)) + durationAt(max(own, usual, shown), e.Rate)
+	// A single job may have arrived by chance: only the work beyond it says something about
+	// other hosts.
+	extrapolated := (own - first) / h.hostFraction(f, now)
+	expected := f.AcceptedRate * now.Sub(since).Seconds()
+	return max(0, f.Wait-now.Sub(since)) + durationAt(max(own, expected, extrapolated), f.Rate)
 }
 
-// hostFraction returns which part of its account's work this host accepts.
-func (p *flowHistory) hostFraction(e FlowShare, now time.Time) float64 {
-	own := p.rate.Rate(rateDecayTime, now)
-	if e.AcceptedRate <= own {
+// hostFraction returns the fraction of its account's work that this host accepts.
+func (h *flowHistory) hostFraction(f FlowShare, now time.Time) float64 {
+	own := h.rate.Rate(rateDecayTime, now)
+	if f.AcceptedRate <= own {
 		return 1
 	}
-	return max(minHostFraction, own/e.AcceptedRate)
+	return max(minHostFraction, own/f.AcceptedRate)
 }
 
-// retryAfter returns when a refused job could be in time, behind those that were refused before:
-// they come back one after another, as the account's share does their work.
-func (p *flowHistory) retryAfter(e FlowShare, least time.Duration, work float64, now time.Time) time.Duration {
-	first := now.Add(least)
-	if p.nextRetry.Before(first) {
-		p.nextRetry = first
+// retryAfter returns when a refused job could be on time. The times of jobs refused one after
+// another are spaced as the account's share completes their work.
+func (h *flowHistory) retryAfter(f FlowShare, minDelay time.Duration, work float64, now time.Time) time.Duration {
+	first := now.Add(minDelay)
+	if h.nextRetry.Before(first) {
+		h.nextRetry = first
 	}
-	at := p.nextRetry.Sub(now)
-	if next := p.nextRetry.Add(durationAt(work/p.hostFraction(e, now), e.Rate)); next.Sub(now) <= maxRetryHorizon {
-		p.nextRetry = next
+	at := h.nextRetry.Sub(now)
+	if next := h.nextRetry.Add(durationAt(work/h.hostFraction(f, now), f.Rate)); next.Sub(now) <= maxRetryHorizon {
+		h.nextRetry = next
 	} else {
-		p.nextRetry = first
+		h.nextRetry = first
 	}
 	return at
 }
 
-// historyOf returns what was let through of a flow, without what is too old to count.
-func (g *AdmissionController) historyOf(l Flow, now time.Time) *flowHistory {
-	p, ok := g.flows[l]
+// historyOf returns what was accepted of a flow, without what is too old to count.
+func (c *AdmissionController) historyOf(f Flow, now time.Time) *flowHistory {
+	h, ok := c.flows[f]
 	if !ok {
-		if g.flows == nil || len(g.flows) >= maxFlows {
-			g.flows = map[Flow]*flowHistory{}
+		if c.flows == nil || len(c.flows) >= maxFlows {
+			c.flows = map[Flow]*flowHistory{}
 		}
-		p = &flowHistory{}
-		g.flows[l] = p
+		h = &flowHistory{}
+		c.flows[f] = h
 	}
-	old := 0
-	for old < len(p.accepted) && now.Sub(p.accepted[old].at) > acceptedRetention {
-		old++
+	expired := 0
+	for expired < len(h.accepted) && now.Sub(h.accepted[expired].at) > acceptedRetention {
+		expired++
 	}
-	p.accepted = p.accepted[old:]
-	return p
+	h.accepted = h.accepted[expired:]
+	return h
 }
--- a/mfshare/allocation.go
+++ b/mfshare/allocation.go
@@ -10,157 +10,159 @@
 	"mothferry/mfdemand"
 )
 
-// Load is what an account asks of a service.
+// Load is the work that an account has in a service.
 type Load struct {
 	Flow
-	// Waiting is the work that waits and can be in time, over time.
+	// Waiting is the waiting work that can be on time, in core-seconds and GiB-seconds.
 	Waiting mfdemand.Amount
-	// Ready is the part of Waiting whose turn has come.
+	// Ready is the part of Waiting whose dependencies are done.
 	Ready mfdemand.Amount
-	// Jobs is how many jobs it is of.
+	// Jobs is the number of jobs that it belongs to.
 	Jobs int
-	// AcceptedRate is the work that came lately, over time and a second.
+	// AcceptedRate is the work accepted per second, lately.
 	AcceptedRate mfdemand.Amount
 }
 
-// queuedWork returns the core-seconds that go before work that comes now. Work whose turn has not
-// come counts for as much as what waits already: where nothing waits there is room for it.
+// queuedWork returns the core-seconds that go before newly arriving work. Work whose
+// dependencies are not done counts for at most as much as the ready work: where nothing is
+// ready there is free capacity for it.
 func (l Load) queuedWork() float64 {
 	return l.Ready.Cores + min(l.Waiting.Cores-l.Ready.Cores, l.Ready.Cores)
 }
 
-// Entitlement is what an account is owed and may have.
+// Entitlement is an account's weight and limit.
 type Entitlement struct {
 	Weight float64
-	// Limit bounds what it may have running, with what lasts left out; a resource that is
-	// zero is not bounded.
+	// Limit bounds the resources of its running tasks, without lasting ones; a resource that
+	// is zero is not bounded.
 	Limit mfdemand.Amount
-	// Limited says that Most holds.
+	// Limited says that Limit applies.
 	Limited bool
 }
 
 // AllocationInput is what the shard's owner knows of all accounts' work.
 type AllocationInput struct {
-	// Listed is what the workers of each service have, Lasting what lasting tasks take of it.
+	// Listed is the capacity of each service's workers, Lasting what lasting tasks take of it.
 	Listed, Lasting map[mothferry.ServiceID]mfdemand.Amount
-	// Fleet is how many cores all machines have.
+	// Fleet is the number of cores of all machines.
 	Fleet    float64
 	Accounts map[mothferry.AccountID]Entitlement
 	Loads    []Load
 }
 
-// drainTime is in what time waiting work claims to be done: about as long as callers'
-// objectives leave, so that an account with a line gets its share and not more.
+// drainTime is the time in which waiting work claims to be done: about what callers'
+// objectives leave, so that an account with a backlog gets its share and not more.
 const drainTime = time.Second
 
-// FlowShare is how an account's work stands in a service.
+// FlowShare is an account's share of a service and the wait of its work.
 type FlowShare struct {
-	// Wait is how long all the account's work takes that waits and can be in time.
+	// Wait is how long the flow's waiting work takes that can be on time.
 	Wait time.Duration
-	// MeanJobWork is the work of a job of it, in core-seconds.
+	// MeanJobWork is the mean work of its jobs, in core-seconds.
 	MeanJobWork float64
-	// Rate is how many core-seconds of it are done a second, at the least.
+	// Rate is the minimum of core-seconds of the flow that are done per second.
 	Rate float64
-	// AcceptedRate is how many core-seconds of it came a second lately.
+	// AcceptedRate is the core-seconds of the flow accepted per second, lately.
 	AcceptedRate float64
-	// AtLimit says that the account's limit on what runs makes the wait, not its share.
+	// AtLimit says that the account's limit on running tasks determines the wait, not its
+	// share.
 	AtLimit bool
 }
 
-// Allocation holds the entries of all flows with work.
+// Allocation holds the shares of all flows with work.
 type Allocation map[Flow]FlowShare
 
-// Allocate works out each account's share of each service and the wait that follows.
+// Allocate computes each account's share of each service and the resulting wait.
 //
-// The load it answers: one account sends far more than its part, and has its limit's worth
-// running. Its line is its own: the wait of the others follows from their own work and
-// from what is due to them.
-func Allocate(s AllocationInput) Allocation {
-	rooms, limits := s.capacities(), s.limits()
+// An account that sends far more than its share and has its limit's worth of tasks running
+// delays only itself: the wait of the others follows from their own work and their own shares.
+func Allocate(in AllocationInput) Allocation {
+	capacities, limits := in.capacities(), in.limits()
 	waiting := map[mothferry.AccountID]float64{}
 	var claims []Claim
-	for _, l := range s.Loads {
-		claims = append(claims, Claim{Flow: l.Flow, Weight: s.Accounts[l.Account].Weight, Cores: l.demand().Cores})
+	for _, l := range in.Loads {
+		claims = append(claims, Claim{Flow: l.Flow, Weight: in.Accounts[l.Account].Weight, Cores: l.demand().Cores})
 		waiting[l.Account] += l.queuedWork()
 	}
-	parts := Divide(rooms, claims, limits)
-	spare, headroom := rooms, maps.Clone(limits)
+	shares := Divide(capacities, claims, limits)
+	spare, headroom := capacities, maps.Clone(limits)
 	for _, c := range claims {
-		spare[c.Service] -= parts[c.Flow]
-		if _, has := headroom[c.Account]; has {
-			headroom[c.Account] -= parts[c.Flow]
+		spare[c.Service] -= shares[c.Flow]
+		if _, ok := headroom[c.Account]; ok {
+			headroom[c.Account] -= shares[c.Flow]
 		}
 	}
 	out := Allocation{}
-	for _, l := range s.Loads {
-		most, bounded := limits[l.Account]
-		more := max(0, spare[l.Service])
-		if bounded {
-			more = max(0, min(more, headroom[l.Account]))
+	for _, l := range in.Loads {
+		limit, limited := limits[l.Account]
+		extra := max(0, spare[l.Service])
+		if limited {
+			extra = max(0, min(extra, headroom[l.Account]))
 		}
-		e := FlowShare{Rate: parts[l.Flow] + more, AcceptedRate: l.AcceptedRate.Cores}
-		e.Wait = durationAt(l.queuedWork(), e.Rate)
+		f := FlowShare{Rate: shares[l.Flow] + extra, AcceptedRate: l.AcceptedRate.Cores}
+		f.Wait = durationAt(l.queuedWork(), f.Rate)
 		if l.Jobs > 0 {
-			e.MeanJobWork = l.Waiting.Cores / float64(l.Jobs)
+			f.MeanJobWork = l.Waiting.Cores / float64(l.Jobs)
 		}
-		if bounded {
-			e.Wait = max(e.Wait, durationAt(waiting[l.Account], most))
-			e.AtLimit = headroom[l.Account] <= minHeadroomFraction*most
+		if limited {
+			f.Wait = max(f.Wait, durationAt(waiting[l.Account], limit))
+			f.AtLimit = headroom[l.Account] <= minHeadroomFraction*limit
 		}
-		out[l.Flow] = e
+		out[l.Flow] = f
 	}
 	return out
 }
 
-// minHeadroomFraction is the part of its limit below which an account counts as being at it.
+// minHeadroomFraction is the remaining fraction of its limit at or below which an account
+// counts as being at the limit.
 const minHeadroomFraction = 0.01
 
-// capacities returns how many cores each service's work can use: those of its workers, or of
-// those that it can get, by the tighter of cores and memory.
-func (s AllocationInput) capacities() map[mothferry.ServiceID]float64 {
+// capacities returns how many cores each service's work can use: those of its workers, or
+// those that its pool can get, by the scarcer of cores and memory.
+func (in AllocationInput) capacities() map[mothferry.ServiceID]float64 {
 	mixes, needs, needed := map[mothferry.ServiceID]mfdemand.Amount{}, map[mothferry.ServiceID]float64{}, 0.0
-	for _, l := range s.Loads {
+	for _, l := range in.Loads {
 		mixes[l.Service] = mixes[l.Service].Add(l.demand())
 	}
-	for service, listed := range s.Listed {
-		needs[service] = min(listed.Cores, mixes[service].Cores+s.Lasting[service].Cores)
+	for service, listed := range in.Listed {
+		needs[service] = min(listed.Cores, mixes[service].Cores+in.Lasting[service].Cores)
 		needed += needs[service]
 	}
-	rooms := map[mothferry.ServiceID]float64{}
+	capacities := map[mothferry.ServiceID]float64{}
 	for service, mix := range mixes {
-		listed := s.Listed[service]
-		reach := max(listed.Cores, min(maxPoolFraction*s.Fleet, s.Fleet-(needed-needs[service])))
-		room := mfdemand.Amount{Cores: reach}
+		listed := in.Listed[service]
+		attainable := max(listed.Cores, min(maxPoolFraction*in.Fleet, in.Fleet-(needed-needs[service])))
+		capacity := mfdemand.Amount{Cores: attainable}
 		if listed.Cores > 0 {
-			room.Memory = listed.Memory * reach / listed.Cores
+			capacity.Memory = listed.Memory * attainable / listed.Cores
 		}
-		room.Cores -= s.Lasting[service].Cores
-		room.Memory -= s.Lasting[service].Memory
-		rooms[service] = max(0, PackingEfficiency*room.UsableCores(mix))
+		capacity.Cores -= in.Lasting[service].Cores
+		capacity.Memory -= in.Lasting[service].Memory
+		capacities[service] = max(0, PackingEfficiency*capacity.UsableCores(mix))
 	}
-	return rooms
+	return capacities
 }
 
-// PackingEfficiency is the part of machines' room that tasks of several sizes fill.
+// PackingEfficiency is the fraction of machines' capacity that tasks of several sizes fill.
 const PackingEfficiency = 0.85
 
-// limits returns how many cores each account can have working that has a limit, by the
-// tighter of cores and memory.
-func (s AllocationInput) limits() map[mothferry.AccountID]float64 {
+// limits returns how many cores the running tasks of each limited account can have, by the
+// scarcer of cores and memory.
+func (in AllocationInput) limits() map[mothferry.AccountID]float64 {
 	mixes := map[mothferry.AccountID]mfdemand.Amount{}
-	for _, l := range s.Loads {
+	for _, l := range in.Loads {
 		mixes[l.Account] = mixes[l.Account].Add(l.demand())
 	}
 	limits := map[mothferry.AccountID]float64{}
 	for id, mix := range mixes {
-		if a := s.Accounts[id]; a.Limited {
+		if a := in.Accounts[id]; a.Limited {
 			limits[id] = max(0, a.Limit.UsableCores(mix))
 		}
 	}
 	return limits
 }
 
-// maxWait is the longest wait that is told.
+// maxWait is the longest wait that is reported.
 const maxWait = time.Hour
 
 // durationAt returns how long work takes at a rate.
@@ -175,35 +177,36 @@
 	}
 }
 
-// demand returns what keeps up with what comes and does what waits in time.
+// demand returns the capacity that keeps up with arriving work and completes the waiting work
+// in time.
 func (l Load) demand() mfdemand.Amount {
 	return l.AcceptedRate.Add(l.Waiting.Times(1 / drainTime.Seconds()))
 }
 
-// MaxPublished bounds the entries that are told to hosts: each host reads them some times a
+// MaxPublished bounds the entries published to hosts: each host reads them several times a
 // second.
 const MaxPublished = 256
 
-// surgeFactor is how many times what it accepts an account may suddenly send: hosts that know its
-// rate by then bound what they take in before the next word.
+// surgeFactor is how many times its accepted rate an account may suddenly send. Hosts that
+// know its rate by then bound what they accept until the next allocation.
 const surgeFactor = 8
 
 // Published returns the entries that matter to callers: those whose wait is at least what
-// their service's callers notice, or may be before the next word; the longest first where
-// there are too many.
-func (s Allocation) Published(noticed map[mothferry.ServiceID]time.Duration) Allocation {
+// callers of the service notice, or may be before the next allocation. If there are too many,
+// the longest waits are kept.
+func (al Allocation) Published(noticeable map[mothferry.ServiceID]time.Duration) Allocation {
 	var flows []Flow
-	for flow, e := range s {
-		if e.Wait > 0 && e.Wait >= noticed[flow.Service] || surgeFactor*e.AcceptedRate > e.Rate {
+	for flow, e := range al {
+		if e.Wait > 0 && e.Wait >= noticeable[flow.Service] || surgeFactor*e.AcceptedRate > e.Rate {
 			flows = append(flows, flow)
 		}
 	}
 	slices.SortFunc(flows, func(a, b Flow) int {
-		return cmp.Or(cmp.Compare(s[b].Wait, s[a].Wait), a.Compare(b))
+		return cmp.Or(cmp.Compare(al[b].Wait, al[a].Wait), a.Compare(b))
 	})
 	out := Allocation{}
 	for _, flow := range flows[:min(len(flows), MaxPublished)] {
-		out[flow] = s[flow]
+		out[flow] = al[flow]
 	}
 	return out
 }
--- a/mfshare/allocation_test.go
+++ b/mfshare/allocation_test.go
@@ -17,7 +17,7 @@
 	return mfshare.Flow{Service: service, Account: id}
 }
 
-// Guarded against: what an account's own limit keeps waiting makes all others wait.
+// Guards against an account's limit delaying the work of other accounts.
 func TestAccountLimitDelaysOnlyItsOwnAccount(t *testing.T) {
 	s := mfshare.Allocate(mfshare.AllocationInput{
 		Listed: map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: 1000}}, Fleet: 1000,
@@ -36,7 +36,8 @@
 	assert.Assert(t, !calm.AtLimit)
 }
 
-// Guarded against: an account's limit is taken for cores alone while memory binds.
+// Guards against applying an account's limit to cores alone where memory is the scarcer
+// resource.
 func TestTighterOfCoresAndMemoryBounds(t *testing.T) {
 	s := mfshare.Allocate(mfshare.AllocationInput{
 		Listed:   map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: 1000, Memory: 4000}},
@@ -47,18 +48,19 @@
 	assert.Equal(t, s[flow("s", "a")].Wait, 6*time.Second)
 }
 
-// Guarded against: machines that other services need count as ones that can come.
+// Guards against counting machines that other services need as available to a pool.
 func TestMachinesInUseByOtherServicesAreNotAvailable(t *testing.T) {
-	situation := mfshare.AllocationInput{
+	input := mfshare.AllocationInput{
 		Listed: map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: 100}, "t": {Cores: 900}}, Fleet: 1000,
 		Loads: []mfshare.Load{{Flow: flow("s", "a"), Waiting: mfdemand.Amount{Cores: 1000}, Ready: mfdemand.Amount{Cores: 1000}}},
 	}
-	alone := mfshare.Allocate(situation)[flow("s", "a")].Wait
-	situation.Loads = append(situation.Loads, mfshare.Load{Flow: flow("t", "a"), Waiting: mfdemand.Amount{Cores: 5000}, Ready: mfdemand.Amount{Cores: 5000}})
-	assert.Equal(t, mfshare.Allocate(situation)[flow("s", "a")].Wait.Round(time.Millisecond), (5 * alone).Round(time.Millisecond))
+	alone := mfshare.Allocate(input)[flow("s", "a")].Wait
+	input.Loads = append(input.Loads, mfshare.Load{Flow: flow("t", "a"), Waiting: mfdemand.Amount{Cores: 5000}, Ready: mfdemand.Amount{Cores: 5000}})
+	assert.Equal(t, mfshare.Allocate(input)[flow("s", "a")].Wait.Round(time.Millisecond), (5 * alone).Round(time.Millisecond))
 }
 
-// Guarded against: an account within its part waits longer because another sends more.
+// Guards against a longer wait for an account within its share because another account sends
+// more.
 func TestWaitWithinShareIsIndependentOfOtherAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := map[mothferry.AccountID]mfshare.Entitlement{"calm": {Weight: 2}}
@@ -74,32 +76,33 @@
 		}
 		const cores = 400
 		s := mfshare.Allocate(mfshare.AllocationInput{Listed: map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: cores}}, Accounts: accounts, Loads: loads})
-		most := own / min(own+1, mfshare.PackingEfficiency*cores*2/weights)
-		assert.Assert(t, s[flow("s", "calm")].Wait.Seconds() <= most+slack, "%v", s[flow("s", "calm")])
+		maxWait := own / min(own+1, mfshare.PackingEfficiency*cores*2/weights)
+		assert.Assert(t, s[flow("s", "calm")].Wait.Seconds() <= maxWait+tolerance, "%v", s[flow("s", "calm")])
 	})
 }
 
-// Guarded against: the owner's word grows without bound, or leaves the longest waits out.
+// Guards against an allocation that grows without bound or leaves out the longest waits.
 func TestLongestWaitsArePublished(t *testing.T) {
 	s := mfshare.Allocation{}
 	for i := range 3 * mfshare.MaxPublished {
 		s[flow("s", mothferry.AccountID(fmt.Sprint(i)))] = mfshare.FlowShare{Wait: time.Duration(i+1) * time.Millisecond}
 	}
-	told := s.Published(map[mothferry.ServiceID]time.Duration{"s": 100 * time.Millisecond})
-	assert.Equal(t, len(told), mfshare.MaxPublished)
-	for _, e := range told {
+	published := s.Published(map[mothferry.ServiceID]time.Duration{"s": 100 * time.Millisecond})
+	assert.Equal(t, len(published), mfshare.MaxPublished)
+	for _, e := range published {
 		assert.Assert(t, e.Wait > 2*mfshare.MaxPublished*time.Millisecond)
 	}
 	assert.Equal(t, len(s.Published(map[mothferry.ServiceID]time.Duration{"s": time.Hour})), 0)
 }
 
-// Guards against jobs that are refused beside idle workers because of steps whose turn has not come.
+// Guards against refusing jobs while workers are idle, because of steps whose dependencies are
+// not done.
 func TestWorkWithOpenDependenciesAloneCausesNoWait(t *testing.T) {
 	load := mfshare.Load{Flow: flow("s", "a"), Waiting: mfdemand.Amount{Cores: 5000}, AcceptedRate: mfdemand.Amount{Cores: 10}}
-	situation := mfshare.AllocationInput{Listed: map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: 1000}}, Fleet: 1000}
+	input := mfshare.AllocationInput{Listed: map[mothferry.ServiceID]mfdemand.Amount{"s": {Cores: 1000}}, Fleet: 1000}
 	wait := func() time.Duration {
-		situation.Loads = []mfshare.Load{load}
-		return mfshare.Allocate(situation)[flow("s", "a")].Wait
+		input.Loads = []mfshare.Load{load}
+		return mfshare.Allocate(input)[flow("s", "a")].Wait
 	}
 	assert.Equal(t, wait(), time.Duration(0))
 	load.Ready.Cores = 500
