--- a/mfdemand/demand.go
+++ b/mfdemand/demand.go
@@ -11,7 +11,7 @@
 	Running Amount
 	// ReadyWork is the waiting work whose dependencies are done, in core-seconds and
 	// GiB-seconds, and Ready the capacity it could use at once; both without work that is too
-	// late to be of use.
+	// late to be useful.
 	ReadyWork, Ready Amount
 	// OnTimeWork is the part of ReadyWork that can still be on time, OnTimeReady that of
 	// Ready.
--- a/mfqueue/queue.go
+++ b/mfqueue/queue.go
@@ -26,18 +26,18 @@
 	Latency time.Duration
 	// Timeout is how long a request to the queue may take.
 	Timeout time.Duration
-	// Advised says that an adviser decides which workers may run a step.
+	// Advised reports whether an adviser decides which workers may run a step.
 	Advised bool
-	// Open says that calls to the queue need no key.
+	// Open reports whether calls to the queue need no key.
 	Open bool
 }
 
 // Service is one pool of workers.
 type Service struct {
 	ID mothferry.ServiceID
-	// Standby says that the pool's machines are off and cost nothing.
+	// Standby reports whether the pool's machines are off and cost nothing.
 	Standby bool
-	// EnforcesCapacity says that its workers refuse tasks that do not fit.
+	// EnforcesCapacity reports whether its workers refuse tasks that do not fit.
 	EnforcesCapacity bool
 }
 
--- a/mfsched/evacuate.go
+++ b/mfsched/evacuate.go
@@ -8,7 +8,7 @@
 
 // evacuate moves lasting tasks away from workers that are to be evacuated or drain, as many at
 // a time as their steps may miss, and only where there is free capacity elsewhere: a waiting
-// task is of less use than one that runs until its worker ends.
+// task is less useful than one that runs until its worker ends.
 func (s *State) evacuate(now time.Time) {
 	for _, w := range s.sortedWorkers {
 		if !s.toEvacuate[w.at.Worker] && !w.Draining || w.unresponsive {
--- a/mfsched/event.go
+++ b/mfsched/event.go
@@ -21,11 +21,11 @@
 	// Latency.
 	Stretch float64
 	Latency time.Duration
-	// Advised says that the adviser decides which workers may run a step.
+	// Advised reports whether the adviser decides which workers may run a step.
 	Advised bool
 }
 
-// ConfigChanged brings the queues of a newer config.
+// ConfigChanged carries the queues of a newer config.
 type ConfigChanged struct {
 	Queues map[mothferry.QueueID]Queue
 	// Services holds the services that exist; nil if that is not known.
@@ -34,14 +34,14 @@
 	Accounts map[mothferry.AccountID]Account
 }
 
-// JobFound brings a submitted job, with its progress if a previous owner stored any.
+// JobFound carries a submitted job, with its progress if a previous owner stored any.
 type JobFound struct {
 	Job        mothferry.JobID
 	Submission mfjob.Submission
 	Progress   *mfjob.Progress
 }
 
-// JobFinished brings a job whose final state a previous owner stored, or that was submitted
+// JobFinished carries a job whose final state a previous owner stored, or that was submitted
 // again after that.
 type JobFinished struct {
 	Job   mothferry.JobID
@@ -51,16 +51,16 @@
 	Submission mfjob.Submission
 }
 
-// DeleteJobsAnswered says whether the rows of jobs were deleted, in answer to DeleteJobs.
+// DeleteJobsAnswered is the answer to DeleteJobs: whether the rows of the jobs were deleted.
 type DeleteJobsAnswered struct {
 	Jobs    []mothferry.JobID
 	Deleted bool
 }
 
-// JobsLoaded says that all stored jobs have been passed on.
+// JobsLoaded reports that all stored jobs have been passed on.
 type JobsLoaded struct{}
 
-// CancelRequested says that a caller has cancelled a job.
+// CancelRequested reports that a caller has cancelled a job.
 type CancelRequested struct {
 	Job mothferry.JobID
 }
@@ -77,12 +77,12 @@
 	Draining  bool
 }
 
-// WorkerListed brings a worker that is new to the list or whose entry has changed.
+// WorkerListed carries a worker that is new to the list or whose entry has changed.
 type WorkerListed struct {
 	Worker Worker
 }
 
-// WorkerUnlisted says that a worker's entry was removed.
+// WorkerUnlisted reports that a worker's entry was removed.
 type WorkerUnlisted struct {
 	Worker mothferry.WorkerID
 }
@@ -96,7 +96,7 @@
 	Report mothferry.LookReport
 }
 
-// PollFailed says that a poll had no answer or was refused.
+// PollFailed reports that a poll had no answer or was refused.
 type PollFailed struct {
 	Worker mothferry.WorkerID
 	Number int
@@ -141,7 +141,7 @@
 	Result OrderResult
 }
 
-// CommitDone says that the commit with this number is stored.
+// CommitDone reports that the commit with this number is stored.
 type CommitDone struct {
 	Number int
 }
@@ -169,8 +169,8 @@
 	MaintenanceDue map[mothferry.WorkerID]bool
 }
 
-// FleetCapacityReported brings the number of cores of all machines that are not down, those on
-// standby and in transit included.
+// FleetCapacityReported carries the number of cores of all machines that are not down, those
+// on standby and in transit included.
 type FleetCapacityReported struct {
 	Cores float64
 }
@@ -178,7 +178,7 @@
 // CommitRequested asks for a commit soon, though no job has changed.
 type CommitRequested struct{}
 
-// IncarnationEnded says that an incarnation of a worker is known to have ended.
+// IncarnationEnded reports that an incarnation of a worker is known to have ended.
 type IncarnationEnded struct {
 	Worker mothferry.WorkerID
 	// ListedAt is when the machine list that shows it was requested.
--- a/mfsched/limits.go
+++ b/mfsched/limits.go
@@ -12,8 +12,8 @@
 	LeaseDuration time.Duration
 	// MaxLease is the longest lease a worker grants, whatever was requested.
 	MaxLease time.Duration
-	// RenewLeasesFor is how long an owner goes on extending leases after the last commit that
-	// it knows to be stored.
+	// RenewLeasesFor is how long an owner continues to extend leases after the last commit
+	// that it knows to be stored.
 	RenewLeasesFor time.Duration
 	// StopTimeout is how long a worker may take to stop a run.
 	StopTimeout time.Duration
@@ -29,7 +29,7 @@
 // Lease times of an owner, unless a deployment needs others.
 const (
 	// DefaultLeaseDuration is short enough that the tasks of an unresponsive worker are
-	// started elsewhere while they are still of use, and long enough for a takeover: an
+	// started elsewhere while they are still useful, and long enough for a takeover: an
 	// owner's silence is noticed after 1.1 s, and its last poll may be a second older.
 	DefaultLeaseDuration = 4500 * time.Millisecond
 	// DefaultRenewLeasesFor covers a store outage of 4 s, and another 4.5 s until the leases
@@ -72,7 +72,7 @@
 	renewInterval = 350 * time.Millisecond
 	// housekeepingInterval is how often conditions that depend on time alone are checked.
 	housekeepingInterval = 50 * time.Millisecond
-	// maxCommitJobs bounds the jobs of one commit: each takes some 0.5 kB, and handling it
+	// maxCommitJobs bounds the jobs of one commit: each takes about 0.5 kB, and handling it
 	// takes little time compared with sending the commit.
 	maxCommitJobs = 400
 	// maxCommitOwnRows bounds the jobs of one commit that need a row of their own.
--- a/mfsched/order.go
+++ b/mfsched/order.go
@@ -13,7 +13,7 @@
 type deadlineClass int
 
 const (
-	// classLasting: a lasting job, which is of use for as long as it runs.
+	// classLasting: a lasting job, which is useful for as long as it runs.
 	classLasting deadlineClass = iota
 	// classOnTime: it can still meet its objective.
 	classOnTime
@@ -21,7 +21,7 @@
 	classOverRate
 	// classLate: it can no longer be on time, but can still finish late rather than too late.
 	classLate
-	// classTooLate: its result is of no use any more.
+	// classTooLate: its result is no longer useful.
 	classTooLate
 )
 
@@ -36,7 +36,7 @@
 	// remainingWork is the work that is not done, in core-seconds.
 	remainingWork float64
 	steps         []*step
-	// tried says that this round has already tried to place the candidate.
+	// tried reports whether this round has already tried to place the candidate.
 	tried bool
 }
 
--- a/mfsched/state.go
+++ b/mfsched/state.go
@@ -66,8 +66,8 @@
 	failures                                  int
 	checkpoint                                mothferry.Checkpoint
 	// checkpointPercent is the percentage at which the checkpoint is known to have been taken;
-	// zero if that is not known. checkpointAhead says that the checkpoint is from a run that
-	// had done more than the current one.
+	// zero if that is not known. checkpointAhead reports whether the checkpoint is from a run
+	// that had done more than the current one.
 	checkpointPercent int
 	checkpointAhead   bool
 	crashes           mfjob.Crashes
@@ -107,9 +107,9 @@
 	// stuckStops counts the runs that were stopped because they were stuck.
 	stuckStops  int
 	tailLatency time.Duration
-	// unavailableSince is since when a lasting task is unavailable; zero while it serves.
+	// unavailableSince is when a lasting task became unavailable; zero while it serves.
 	unavailableSince time.Time
-	// unavailableLogged says that the log reports it as unavailable.
+	// unavailableLogged reports whether the log says that it is unavailable.
 	unavailableLogged bool
 	pace              int
 }
@@ -130,8 +130,8 @@
 	advicePending     bool
 	refused           map[mothferry.WorkerID]bool
 	tickets           map[mothferry.WorkerID]ticket
-	// heldSince is since when the step waits for free capacity on a worker that is not slow;
-	// zero if it never did.
+	// heldSince is when the step began to wait for free capacity on a normal worker; zero if
+	// it never did.
 	heldSince time.Time
 }
 
@@ -160,18 +160,18 @@
 	account *account
 	// flow is what the tasks of the job's account use of its service.
 	flow *flowUsage
-	// overRate says that the job exceeds its account's rate.
+	// overRate reports whether the job exceeds its account's rate.
 	overRate    bool
 	state       mfjob.State
 	occurrences []*occurrence
-	// started says that a run was ever planned.
+	// started reports whether a run was ever planned.
 	started bool
-	// dirty says that a change is in no commit yet, rowStored that the job's own row is stored
-	// or in the commit in flight.
+	// dirty reports whether a change is in no commit yet, rowStored whether the job's own row
+	// is stored or in the commit in flight.
 	dirty, rowStored bool
 	criticalPath     time.Duration
 	finishedAt       time.Time
-	// finalStored says that its final state is stored.
+	// finalStored reports whether its final state is stored.
 	finalStored bool
 }
 
@@ -205,8 +205,8 @@
 	maintenanceDue map[mothferry.WorkerID]bool
 	// fleetCores is the number of cores of all machines, as last reported.
 	fleetCores float64
-	// hasAccounts says that the config names client accounts; recentWork holds the work that
-	// arrived lately, by flow.
+	// hasAccounts reports whether the config names client accounts; recentWork holds the work
+	// that arrived lately, by flow.
 	hasAccounts bool
 	recentWork  map[mfshare.Flow]*recentWork
 	// flows holds what each account's tasks use of each service.
@@ -220,7 +220,7 @@
 	kinds    mfspeed.Baselines
 	evidence mfspeed.Evidence
 	// lastClassified is when the workers' speeds were last classified, lastBaselineExpiry when
-	// old runs were last expired, anySlow says that a worker counts as slow.
+	// old runs were last expired, anySlow whether any worker counts as slow.
 	lastClassified, lastBaselineExpiry time.Time
 	anySlow                            bool
 
--- a/mfshare/allocation.go
+++ b/mfshare/allocation.go
@@ -36,7 +36,7 @@
 	// Limit bounds the resources of its running tasks, without lasting ones; a resource that
 	// is zero is not bounded.
 	Limit mfdemand.Amount
-	// Limited says that Limit applies.
+	// Limited reports whether Limit applies.
 	Limited bool
 }
 
@@ -64,8 +64,8 @@
 	Rate float64
 	// AcceptedRate is the core-seconds of the flow accepted per second, lately.
 	AcceptedRate float64
-	// AtLimit says that the account's limit on running tasks determines the wait, not its
-	// share.
+	// AtLimit reports whether the account's limit on running tasks, not its share, determines
+	// the wait.
 	AtLimit bool
 }
 
--- a/mfshare/backlog.go
+++ b/mfshare/backlog.go
@@ -13,7 +13,7 @@
 // machines on standby or in transit will serve, after a restart or as a demand peak begins.
 const maxPoolFraction = 0.5
 
-// Backlog is the waiting work of a service that can still be of use.
+// Backlog is a service's waiting work that is still useful.
 type Backlog struct {
 	// Cores is the number of cores of the service's workers.
 	Cores float64
