--- a/mfshare/admission.go
+++ b/mfshare/admission.go
@@ -134,7 +134,7 @@
 }
 
 // currentWait returns a flow's wait as of now: the published wait less the time since, plus
-// the time for the work accepted since.
+// the time for the work that all hosts are estimated to have accepted since.
 func (h *flowHistory) currentWait(f FlowShare, since, now time.Time) time.Duration {
 	own, first := 0.0, 0.0
 	for _, a := range h.accepted {
