--- a/mfrecord/host.go
+++ b/mfrecord/host.go
@@ -9,23 +9,23 @@
 	"mothferry"
 )
 
-// TableHosts holds a row for each entry host, by its daemon's id.
+// TableHosts is the table with one row per entry host, keyed by the daemon's ID.
 const TableHosts mothferry.TableID = "mothferry_hosts"
 
 // hostFormat is the version of the stored form of Host.
 const hostFormat = 1
 
-// Host is what an entry host tells the others of itself when it starts. Its row stays
-// when it ends: whether it lives shows when it is called.
+// Host is what an entry host publishes about itself when it starts. The row stays when the
+// host stops: only a call to the host shows whether it is running.
 type Host struct {
 	Daemon     mothferry.DaemonID
 	DataCentre mothferry.DataCentre
-	// Address is the IP address and port at which it passes orders on.
+	// Address is the IP address and port at which the host relays commands to workers.
 	Address string
-	// Forward is the IP address and port at which it carries out callers' requests for
-	// a host that the store turns away; empty if it does not.
+	// Forward is the IP address and port at which the host executes callers' requests for a
+	// host that the store does not serve; empty if it does not.
 	Forward string
-	// Cores is its share of processors.
+	// Cores is the host's CPU share.
 	Cores mothferry.Millicores
 }
 
@@ -37,12 +37,12 @@
 	Cores      mothferry.Millicores `json:"cores"`
 }
 
-// ErrNewerHost reports a host's row that a newer program wrote.
+// ErrNewerHost reports a host row in an unsupported, newer format.
 type ErrNewerHost struct{ Format int }
 
 // Error implements error.
 func (e *ErrNewerHost) Error() string {
-	return fmt.Sprintf("a host's row has format %d, this program reads up to %d", e.Format, hostFormat)
+	return fmt.Sprintf("decode host row: format %d is newer than the supported format %d", e.Format, hostFormat)
 }
 
 // Encode returns the stored form.
@@ -51,7 +51,7 @@
 	return data, trace.Wrap(err)
 }
 
-// DecodeHost reads the row of a host.
+// DecodeHost decodes the row of a host. The key is the daemon's ID.
 func DecodeHost(key mothferry.Key, data []byte) (Host, error) {
 	var s storedHost
 	if err := json.Unmarshal(data, &s); err != nil {
--- a/mfrecord/record.go
+++ b/mfrecord/record.go
@@ -1,16 +1,16 @@
-// Package mfrecord is the layout of what lasts: which rows of the store hold
-// jobs, cancels, progress and the ownership of a shard.
+// Package mfrecord defines the layout of stored data: which rows of the store hold jobs,
+// cancellations, progress and the ownership of a shard.
 //
-//	inbox    part inbox-NN  job/ID     what a caller handed in; written once,
-//	                                  deleted some seconds after the job is over
-//	                       cancel/ID  a caller's cancel; written once
-//	progress part SHARD    ID         how far the job is; the owner's alone
-//	log      part SHARD    number     how far jobs are that changed since
-//	owner    part SHARD    head       who owns the shard; rewritten by each of
+//	inbox    part inbox-NN  job/ID     a caller's submission; written once, deleted
+//	                                  some seconds after the job has ended
+//	                       cancel/ID  a caller's cancellation; written once
+//	progress part SHARD    ID         progress of the job; written only by the owner
+//	log      part SHARD    number     progress of jobs changed since their own row
+//	owner    part SHARD    head       the owner of the shard; rewritten by each of
 //	                                  the owner's commits
 //
-// The inbox has parts of its own, so that entry hosts that accept jobs and the
-// owner that commits progress do not wait for each other.
+// The inbox has its own parts so that entry hosts accepting jobs and the owner committing
+// progress do not wait for each other.
 package mfrecord
 
 import (
@@ -27,7 +27,7 @@
 	"mothferry/mfshare"
 )
 
-// Tables of the project.
+// Tables of the store.
 const (
 	TableInbox    mothferry.TableID = "mothferry_inbox"
 	TableProgress mothferry.TableID = "mothferry_progress"
@@ -35,14 +35,14 @@
 	TableOwner    mothferry.TableID = "mothferry_owner"
 )
 
-// inboxParts is how many parts the inbox has. A part does its transactions one
-// after another, so that a store that is 60 times slower does four a second in
-// each: with 64 parts that is still four times what a busy deployment of today
-// hands in, with one part it is a fifteenth. A successor reads them all.
+// inboxParts is the number of parts of the inbox. A part runs its transactions one after
+// another, so a store that is 60 times slower than usual runs four per second in each part.
+// With 64 parts that is still four times the submission rate of a busy deployment; with a
+// single part it would be a fifteenth of it. A new owner reads all parts.
 const inboxParts = 64
 
-// InboxPart is the part of a job's rows in the inbox. It depends on the id
-// alone: the same job handed in at two hosts must meet the same row.
+// InboxPart returns the part that holds a job's inbox rows. It depends only on the ID, so that
+// the same job submitted at two hosts maps to the same row.
 func InboxPart(id mothferry.JobID) mothferry.PartID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
@@ -58,13 +58,13 @@
 	return parts
 }
 
-// PartShard is the part of the one shard that a small deployment has.
+// PartShard is the part of the only shard of a small deployment.
 const PartShard mothferry.PartID = "shard-0"
 
-// KeyHead is the key of the row that names a shard's owner.
+// KeyHead is the key of the row that names the shard's owner.
 const KeyHead mothferry.Key = "head"
 
-// KeyMaxCores is the key of the row that tells the strongest host's share.
+// KeyMaxCores is the key of the row with the largest CPU share of any host.
 const KeyMaxCores mothferry.Key = "strength"
 
 const (
@@ -72,73 +72,73 @@
 	prefixCancel = "cancel/"
 )
 
-// LogKey is the key of a row of the log; keys sort as their numbers do.
+// LogKey returns the key of a log row. Keys sort like their numbers.
 func LogKey(number uint64) mothferry.Key { return mothferry.Key(fmt.Sprintf("%016x", number)) }
 
-// LogNumber returns the number of a row of the log.
+// LogNumber returns the number of a log row.
 func LogNumber(k mothferry.Key) (uint64, error) {
 	number, err := strconv.ParseUint(string(k), 16, 64)
 	return number, trace.Wrap(err)
 }
 
-// JobKey is the inbox's key of a job.
+// JobKey returns the inbox key of a job.
 func JobKey(id mothferry.JobID) mothferry.Key { return mothferry.Key(prefixJob + string(id)) }
 
-// CancelKey is the inbox's key of a job's cancel.
+// CancelKey returns the inbox key of a job's cancellation.
 func CancelKey(id mothferry.JobID) mothferry.Key { return mothferry.Key(prefixCancel + string(id)) }
 
-// JobOf returns the job of an inbox key, or false for another kind of key.
+// JobOf returns the job of a job's inbox key, or false for another kind of key.
 func JobOf(k mothferry.Key) (mothferry.JobID, bool) {
 	id, ok := strings.CutPrefix(string(k), prefixJob)
 	return mothferry.JobID(id), ok
 }
 
-// CancelOf returns the job of a cancel's key, or false for another kind of key.
+// CancelOf returns the job of a cancellation's inbox key, or false for another kind of key.
 func CancelOf(k mothferry.Key) (mothferry.JobID, bool) {
 	id, ok := strings.CutPrefix(string(k), prefixCancel)
 	return mothferry.JobID(id), ok
 }
 
-// headFormat is the version of the stored form of Head. In format 1 the machines
-// asked for had no age; before format 3 there was no log, which an owner must read.
+// headFormat is the version of the stored form of Head. Format 1 has no ages for machine
+// calls. Before format 3 there was no log, which an owner must read.
 const headFormat = 3
 
-// Head is the row that names a shard's owner. Each commit of the owner checks
-// and rewrites it, so that it is a lease's renewal too, commits happen one
-// after another, and one whose answer was lost can't take effect after the next.
+// Head is the row that names the shard's owner. Each commit of the owner checks and rewrites
+// it. The commit thus also renews the owner's lease, commits are serialized, and a commit
+// whose answer was lost can't take effect after a later one.
 type Head struct {
-	// Holder is the owner; empty if it gave the shard up.
+	// Holder is the owner; empty if it released the shard.
 	Holder mothferry.DaemonID
 	Epoch  mothferry.Epoch
-	// Cores is the holder's share of processors.
+	// Cores is the holder's CPU share.
 	Cores mothferry.Millicores
-	// LeaseTail is how long after the commit that wrote the row workers' leases
-	// may still run that this owner asked for.
+	// LeaseTail is how long after the commit that wrote the row worker leases requested by
+	// this owner may still run.
 	LeaseTail time.Duration
-	// Token names the commit that wrote the row.
+	// Token identifies the commit that wrote the row.
 	Token mothferry.Token
-	// PendingKnown says that Pending is known: a successor does not count before it
-	// has read all jobs.
+	// PendingKnown reports whether Pending is valid. A new owner does not count pending jobs
+	// before it has read all jobs.
 	PendingKnown bool
-	// Pending counts the accepted jobs of each queue that have not begun.
+	// Pending is the number of accepted jobs of each queue that have not started.
 	Pending map[mothferry.QueueID]int
-	// EstimatedWaits is how long work that comes now would wait in each service.
+	// EstimatedWaits is how long new work would wait in each service.
 	EstimatedWaits map[mothferry.ServiceID]time.Duration
-	// Shares is how the work of client accounts stands that waits, of the longest waits;
-	// nil where room is not divided among accounts.
+	// Shares is the published part of the allocation of capacity to client accounts: the
+	// longest waits. It is nil if capacity is not divided among accounts.
 	Shares mfshare.Allocation
-	// MaxCapacity is the most of each resource that any machine has; zero while the
-	// owner has not listed machines.
+	// MaxCapacity is the maximum of each resource over all machines; zero while the owner has
+	// not listed machines.
 	MaxCapacity mothferry.Resources
-	// CallAges holds the machines that this owner, or its predecessor, may have
-	// asked for changes of lately, and how long before this commit: negative for
-	// those that may still be asked for. An owner asks only once that is stored.
+	// CallAges holds the machines for which this owner or the previous one may recently have
+	// called the platform, and how long before this commit; negative for calls that may still
+	// be sent. An owner sends a call only after the commit that names it is stored.
 	CallAges map[mothferry.MachineID]time.Duration
-	// CalledBy tells of the machines in Called that the holder itself did not ask
-	// for who did.
+	// CalledBy names the calling daemon of machines in CallAges that the holder itself did not
+	// call for.
 	CalledBy map[mothferry.MachineID]mothferry.DaemonID
-	// ReadAt is when this host read the row, Since when it first read this version
-	// of it; neither is stored.
+	// ReadAt is when this host read the row, FirstReadAt when it first read this version of
+	// it. Neither is stored.
 	ReadAt, FirstReadAt time.Time
 }
 
@@ -152,7 +152,7 @@
 	Counted bool                          `json:"counted,omitempty"`
 	Pending map[mothferry.QueueID]int     `json:"pending,omitempty"`
 	WaitMs  map[mothferry.ServiceID]int64 `json:"wait_ms,omitempty"`
-	// Shares is missing where room is not divided among accounts, and empty where nothing waits.
+	// Shares is missing if capacity is not divided among accounts, and empty if nothing waits.
 	Shares  *storedShares        `json:"shares,omitempty"`
 	Largest *mothferry.Resources `json:"largest,omitempty"`
 	// CalledMs replaced Called in format 2.
@@ -161,14 +161,17 @@
 	CalledBy map[mothferry.MachineID]mothferry.DaemonID `json:"called_by,omitempty"`
 }
 
-// ErrNewerHead reports a head row of a newer program.
+// ErrNewerHead reports a head row in an unsupported, newer format: the shard's owner runs a
+// newer version.
 type ErrNewerHead struct{ Format int }
 
 // Error implements error.
-func (e *ErrNewerHead) Error() string { return "the shard's owner runs a newer version of the program" }
+func (e *ErrNewerHead) Error() string {
+	return fmt.Sprintf("decode head row: format %d is newer than the supported format %d", e.Format, headFormat)
+}
 
-// CallingDaemon returns who asked for a machine in Called; empty if the holder did and
-// has given the shard up since.
+// CallingDaemon returns the daemon that called the platform for a machine in CallAges; empty
+// if the holder did and has released the shard since.
 func (h Head) CallingDaemon(machine mothferry.MachineID) mothferry.DaemonID {
 	if by, other := h.CalledBy[machine]; other {
 		return by
@@ -192,14 +195,14 @@
 	if h.MaxCapacity != (mothferry.Resources{}) {
 		stored.Largest = &h.MaxCapacity
 	}
-	for machine, ago := range h.CallAges {
-		stored.CalledMs[machine] = ago.Milliseconds()
+	for machine, age := range h.CallAges {
+		stored.CalledMs[machine] = age.Milliseconds()
 	}
 	data, err := json.Marshal(stored)
 	return data, trace.Wrap(err)
 }
 
-// DecodeHead reads the stored form.
+// DecodeHead decodes the stored form.
 func DecodeHead(data []byte) (Head, error) {
 	var s storedHead
 	if err := json.Unmarshal(data, &s); err != nil {
--- a/mfrecord/record_test.go
+++ b/mfrecord/record_test.go
@@ -27,8 +27,8 @@
 	assert.ErrorType(t, err, &mfrecord.ErrNewerHead{})
 }
 
-// A row of the older format says which machines were asked for, not when: they
-// count as asked for just then.
+// A format 1 row lists the called machines without ages: they count as called at the time of
+// the commit.
 func TestDecodeHeadFormat1(t *testing.T) {
 	got, err := mfrecord.DecodeHead([]byte(`{"format":1,"holder":"h-1","epoch":3,"called":["m-1"]}`))
 	assert.NilError(t, err)
@@ -45,7 +45,8 @@
 	}
 }
 
-// Failure guarded against: a host's row of an older program can't be read, or names an address at which nobody carries calls out.
+// Guards against rows of older versions that can't be decoded, or that get an address at which
+// nothing executes requests.
 func TestDecodeHostWithoutForward(t *testing.T) {
 	old, err := mfrecord.DecodeHost("h-1", []byte(`{"format":1,"data_centre":"a","address":"10.0.0.1:7060","cores":400}`))
 	assert.NilError(t, err)
@@ -53,12 +54,13 @@
 	old.Forward = "10.0.0.1:7061"
 	data, err := old.Encode()
 	assert.NilError(t, err)
-	again, err := mfrecord.DecodeHost("h-1", data)
+	decoded, err := mfrecord.DecodeHost("h-1", data)
 	assert.NilError(t, err)
-	assert.Equal(t, again, old)
+	assert.Equal(t, decoded, old)
 }
 
-// Guarded against: the owner's word on accounts' shares takes more of hosts' links than they have.
+// Guards against an allocation in the head row that takes more bandwidth than hosts' links
+// have.
 func TestStoredSharesAreCompact(t *testing.T) {
 	s := mfshare.Allocation{}
 	for a := range 230 {
@@ -68,17 +70,17 @@
 			}
 		}
 	}
-	told := s.Published(nil)
+	published := s.Published(nil)
 	without, err := mfrecord.Head{Holder: "h"}.Encode()
 	assert.NilError(t, err)
-	with, err := mfrecord.Head{Holder: "h", Shares: told}.Encode()
+	with, err := mfrecord.Head{Holder: "h", Shares: published}.Encode()
 	assert.NilError(t, err)
-	t.Logf("%d of %d entries take %d bytes", len(told), len(s), len(with)-len(without))
+	t.Logf("%d of %d entries take %d bytes", len(published), len(s), len(with)-len(without))
 	assert.Assert(t, len(with)-len(without) < 14<<10)
 	got, err := mfrecord.DecodeHead(with)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got.Shares, told)
+	assert.DeepEqual(t, got.Shares, published)
 	got, err = mfrecord.DecodeHead(without)
 	assert.NilError(t, err)
-	assert.Assert(t, got.Shares == nil, "an owner that does not divide, or that an older program runs")
+	assert.Assert(t, got.Shares == nil, "an owner that does not divide capacity, or that runs an older version")
 }
--- a/mfrecord/share.go
+++ b/mfrecord/share.go
@@ -8,9 +8,10 @@
 	"mothferry/mfshare"
 )
 
-// storedShares is the stored form of accounts' shares: by service and account the wait in
-// milliseconds, the rate and the accepted work in millicores, 1 if the account's limit makes
-// the wait, and the mean work of a job in core-milliseconds. A row of numbers takes a third of the bytes of named fields.
+// storedShares is the stored form of an allocation. By service and account it holds the wait
+// in milliseconds, the rate and the accepted work in millicores, 1 if the wait is due to the
+// account's limit, and the mean work of a job in core-milliseconds. An array takes a third of
+// the bytes of named fields.
 type storedShares map[mothferry.ServiceID]map[mothferry.AccountID][5]int64
 
 func encodeShares(s mfshare.Allocation) *storedShares {
@@ -28,7 +29,7 @@
 	return &out
 }
 
-func toMilli(cores float64) int64 { return int64(math.Round(cores * 1000)) }
+func toMilli(value float64) int64 { return int64(math.Round(value * 1000)) }
 
 func (s storedShares) decode() mfshare.Allocation {
 	out := mfshare.Allocation{}
