--- a/mfowner/order.go
+++ b/mfowner/order.go
@@ -8,7 +8,7 @@
 	"mothferry/mfsched"
 )
 
-// orderResult returns the result of an order to a worker, by its error.
+// orderResult classifies the error of an order to a worker.
 func orderResult(err error) (mfsched.OrderResult, mothferry.OrderRefusal) {
 	var refused *mothferry.ErrOrderRefused
 	var other *mothferry.ErrOtherLife
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -131,7 +131,7 @@
 	return d*3/4 + time.Duration(o.Random.Float64()*float64(d/2))
 }
 
-// watch reads who owns the shard and takes it over if its owner is lost.
+// watch reads who owns the shard and takes it over if this host may claim it.
 func (o *Owner) watch(ctx context.Context, seen observation) observation {
 	o.probeSpeed()
 	began := o.Clock.Now()
--- a/mfrecord/host.go
+++ b/mfrecord/host.go
@@ -20,7 +20,7 @@
 type Host struct {
 	Daemon     mothferry.DaemonID
 	DataCentre mothferry.DataCentre
-	// Address is the IP address and port at which the host relays commands to workers.
+	// Address is the IP address and port at which the host relays orders to workers.
 	Address string
 	// Forward is the IP address and port at which the host executes callers' requests for a
 	// host that the store does not serve; empty if it does not.
