--- a/mfduty/divide.go
+++ b/mfduty/divide.go
@@ -7,18 +7,20 @@
 	"mothferry/mfpool"
 )
 
-// divideThreshold is from how many times the fleet pools' needs are divided. They hold room for
-// work of several sizes and for a forecast that may be wrong; a fleet that is short by no
-// more is served in time by machines as they run empty, while each division moves some.
+// divideThreshold is the ratio of the pools' targets to the fleet above which the fleet is
+// divided among the pools. Targets include a margin for tasks of several sizes and for errors
+// of the forecast; up to this ratio the pools get machines soon enough as they become idle,
+// while each division moves machines.
 const divideThreshold = 2
 
-// divide cuts the targets down to the fleet if they add up to much more.
+// divide reduces the targets to each pool's share of the fleet, with hysteresis, if their sum
+// exceeds divideThreshold times the fleet.
 func (s *State) divide(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, now time.Time) {
 	claims := s.sizer.Claims(pools, now)
 	fleet, wanted := 0, 0
 	for _, m := range f.Machines {
-		_, busy := s.operations[m.Machine]
-		if f.Standby[m.Pool] && m.State == mothferry.MachineUp && !busy && !f.Blocked[m.Machine] {
+		_, underWay := s.operations[m.Machine]
+		if f.Standby[m.Pool] && m.State == mothferry.MachineUp && !underWay && !f.Blocked[m.Machine] {
 			fleet++
 		}
 	}
--- a/mfduty/divide_test.go
+++ b/mfduty/divide_test.go
@@ -14,7 +14,7 @@
 	"mothferry/mfsched"
 )
 
-// poolMachines returns machines of a pool, each with a load.
+// poolMachines returns machines of a pool and records a load for the worker of each.
 func poolMachines(pool mothferry.ServiceID, count int, load mfsched.Load, loads map[mothferry.WorkerID]mfsched.Load) []mothferry.Machine {
 	var machines []mothferry.Machine
 	for i := range count {
@@ -27,8 +27,8 @@
 	return machines
 }
 
-// shortFleet is a fleet all of whose machines are in pool a and have just run empty, while
-// both pools are asked for as much as the whole fleet.
+// shortFleet returns a fleet whose machines are all in pool a and idle, while each of two pools
+// has more demand than the fleet can serve.
 func shortFleet() mfduty.Fleet {
 	f := mfduty.Fleet{Loads: map[mothferry.WorkerID]mfsched.Load{}}
 	work := mfdemand.Amount{Cores: 1000}
@@ -38,7 +38,7 @@
 	return f
 }
 
-// completeMoves answers calls, and shows machines as moved at once.
+// completeMoves answers calls and lists their machines as moved.
 func completeMoves(s *mfduty.State, f *mfduty.Fleet, calls []mfduty.Call, now time.Time) {
 	for _, c := range calls {
 		s.RecordAnswer(c, mfduty.AnswerDone, now)
@@ -51,7 +51,8 @@
 	}
 }
 
-// A pool with waiting work must not keep all machines that run empty there, and none may go back and forth while demands stand still.
+// TestShortFleetIsDividedOnce checks that a pool with queued work does not retain all machines
+// that become idle there, and that no machine moves twice while demands are constant.
 func TestShortFleetIsDividedOnce(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -72,7 +73,7 @@
 	}
 }
 
-// Machines with work must not be taken away for a pool that is short.
+// TestShortFleetEndsNoWork checks that machines with tasks do not move to a short pool.
 func TestShortFleetEndsNoWork(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -84,7 +85,7 @@
 	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
-// With the feature off a short fleet stays where it is.
+// TestDivisionCanBeDisabled checks that a short fleet is not divided while the feature is off.
 func TestDivisionCanBeDisabled(t *testing.T) {
 	s := mfduty.New()
 	s.Off = mothferry.FeaturesOff{mothferry.FeatureRooms: true}
@@ -92,7 +93,8 @@
 	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
-// A slow machine must be the one that leaves to standby where the pool can spare one.
+// TestPoolSparesItsSlowMachine checks that the machine that a pool releases to standby is its
+// slow one.
 func TestPoolSparesItsSlowMachine(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -106,8 +108,8 @@
 	assert.DeepEqual(t, calls[0], mfduty.Call{Kind: mfduty.KindMove, Machine: "a-05", Pool: "off"})
 }
 
-// A machine that was asked for and never comes must not keep the others from moving, and is
-// asked for again.
+// TestUnansweredMoveIsRetried checks that a call without an answer does not prevent other moves
+// and is repeated.
 func TestUnansweredMoveIsRetried(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -126,8 +128,8 @@
 	assert.Assert(t, again)
 }
 
-// A move that is refused as the machine is busy must not be lost: it or another machine is
-// sent as soon as it can be.
+// TestRefusedMoveIsRetried checks that a move that the platform refuses is replaced in the next
+// plan by a move of the same or another machine.
 func TestRefusedMoveIsRetried(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -139,19 +141,20 @@
 	assert.Equal(t, len(s.Plan(f, start.Add(300*time.Millisecond))), len(calls))
 }
 
-// A new owner must decide the same as one that was lost between deciding and asking: nothing
-// of a division but calls under way is kept anywhere else.
+// TestSuccessorRepeatsDivision checks that a new owner divides the fleet like the previous one,
+// which was lost before it made its calls: nothing of a division is stored but calls under way.
 func TestSuccessorRepeatsDivision(t *testing.T) {
 	f := shortFleet()
-	lost := mfduty.New()
-	lost.Plan(f, start)
-	assert.Assert(t, len(lost.Evacuating()) > 0)
-	successor := mfduty.New()
-	successor.Plan(f, start.Add(3*time.Second))
-	assert.DeepEqual(t, successor.Evacuating(), lost.Evacuating())
+	previous := mfduty.New()
+	previous.Plan(f, start)
+	assert.Assert(t, len(previous.Evacuating()) > 0)
+	newOwner := mfduty.New()
+	newOwner.Plan(f, start.Add(3*time.Second))
+	assert.DeepEqual(t, newOwner.Evacuating(), previous.Evacuating())
 }
 
-// Lists that fail must not have more machines asked for than those under way.
+// TestNoFurtherMachinesAfterListsFailed checks that a plan on an old machine list repeats the
+// calls under way and makes no others.
 func TestNoFurtherMachinesAfterListsFailed(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -160,7 +163,8 @@
 	assert.DeepEqual(t, s.Plan(f, start.Add(10*time.Second)), calls)
 }
 
-// Demand that wavers by a fifth every two seconds must not move machines back and forth.
+// TestFluctuatingDemandMovesNothing checks that demand that varies by a fifth every two seconds
+// does not move machines back and forth.
 func TestFluctuatingDemandMovesNothing(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -184,7 +188,8 @@
 	assert.Equal(t, moves, 0)
 }
 
-// Calls beyond the platform's rate must go out again in the next round, not a second later.
+// TestThrottledMoveIsRetriedInTheNextRound checks that a call beyond the platform's rate limit
+// is repeated in the next plan, not after retryInterval.
 func TestThrottledMoveIsRetriedInTheNextRound(t *testing.T) {
 	s := mfduty.New()
 	f := shortFleet()
@@ -195,8 +200,8 @@
 	assert.DeepEqual(t, s.Plan(f, start.Add(300*time.Millisecond)), calls[:1])
 }
 
-// Guards against a slow machine that is sent to a pool in need while a usual one goes to standby, or
-// stays idle where it was.
+// TestSlowMachineGoesToStandbyNotToAPoolInNeed checks that a slow machine does not move to a
+// short pool while a machine of normal speed moves to standby or stays idle.
 func TestSlowMachineGoesToStandbyNotToAPoolInNeed(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -216,8 +221,8 @@
 	assert.Equal(t, to["off"][0], mothferry.MachineID("a-03"), "%v", to)
 }
 
-// Guards against a slow machine that is the first to go to a pool in need of nearly all that another
-// one can spare.
+// TestSlowMachineIsLastToMoveToAShortPool checks that a slow machine is not among the first to
+// move to a short pool that needs nearly all that another pool can spare.
 func TestSlowMachineIsLastToMoveToAShortPool(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
--- a/mfduty/duty_test.go
+++ b/mfduty/duty_test.go
@@ -20,19 +20,17 @@
 	return mothferry.Machine{Machine: id, Worker: worker, Pool: "s", State: mothferry.MachineUp}
 }
 
-// standbyOnly has the machines of these tests stand by, so that only waves act on them.
+// standbyOnly puts the machines of a test on standby, so that only waves act on them.
 var standbyOnly = map[mothferry.ServiceID]bool{"s": true}
 
-func wave(atOnce int, machines ...mothferry.MachineID) mfsched.Wave {
-	return mfsched.Wave{Wave: 1, Machines: machines, Within: 20 * time.Second, MaxDown: atOnce}
+func wave(maxDown int, machines ...mothferry.MachineID) mfsched.Wave {
+	return mfsched.Wave{Wave: 1, Machines: machines, Within: 20 * time.Second, MaxDown: maxDown}
 }
 
-// Symptom: tasks ran twice at the same time during a wave.
-// Events: an owner has a machine taken down, and dies before that is stored;
-// its successor asks for the same machine again, which the platform answers as
-// done because it was done already.
-// Cause: the answer alone was taken to mean that the worker's life is over, so
-// that the tasks of the new life were started elsewhere too.
+// TestDoneAnswerAloneEndsNoIncarnation guards against tasks that run twice at the same time:
+// an owner has a machine taken down and dies before that is stored, and the new owner repeats
+// the call, which the platform answers as done. If that answer alone ended the incarnation,
+// the tasks of the machine's new incarnation would be started on other workers too.
 func TestDoneAnswerAloneEndsNoIncarnation(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1"), start)
@@ -40,17 +38,17 @@
 	calls := s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start)
 	assert.Equal(t, len(calls), 1)
 	s.RecordAnswer(calls[0], mfduty.AnswerDone, start)
-	var lives mfduty.IncarnationTracker
+	var tracker mfduty.IncarnationTracker
 	for d := time.Duration(0); d < 3*time.Second; d += 300 * time.Millisecond {
 		assert.Equal(t, len(s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, start.Add(d))), 0)
-		assert.Equal(t, len(lives.Ended(machines, map[mothferry.WorkerID]mfsched.Load{"w-2": {Tasks: 2}}, start.Add(d))), 0)
+		assert.Equal(t, len(tracker.Ended(machines, map[mothferry.WorkerID]mfsched.Load{"w-2": {Tasks: 2}}, start.Add(d))), 0)
 	}
 	assert.Assert(t, s.Waves[1].Completed)
 	assert.Equal(t, len(s.Evacuating()), 0)
 }
 
-// More machines than the wave allows must not be down, also while the answer
-// to a call is not known.
+// TestWaveStaysWithinItsParallelLimit checks that no more machines are down than the wave
+// allows, also while the answer to a call is unknown.
 func TestWaveStaysWithinItsParallelLimit(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1", "m-2"), start)
@@ -65,7 +63,8 @@
 	}
 }
 
-// A wave must not count as completed, nor its machine as back, because a single list lacks the machine.
+// TestMachineMissingFromOneListIsNotRemoved checks that a wave does not count as completed, nor
+// its machine as back, because a single list lacks the machine.
 func TestMachineMissingFromOneListIsNotRemoved(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1", "m-2"), start)
@@ -76,21 +75,21 @@
 		return s.Plan(mfduty.Fleet{Machines: machines, Standby: standbyOnly}, now)
 	}
 	assert.Equal(t, len(plan(nil)), 0)
-	assert.Assert(t, !s.Waves[1].Completed, "nothing is done")
+	assert.Assert(t, !s.Waves[1].Completed, "no machine of the wave is done")
 	first := plan(all)
 	assert.Equal(t, len(first), 1)
 	s.RecordAnswer(first[0], mfduty.AnswerUnknown, now)
-	assert.Equal(t, len(plan(all[1:])), 0, "the other one is begun while the first may be down")
+	assert.Equal(t, len(plan(all[1:])), 0, "the other machine is called while the first may be down")
 	assert.Equal(t, len(plan(all)), 0)
 	s.RecordAnswer(first[0], mfduty.AnswerDone, now)
 	for range 5 {
 		assert.Equal(t, len(plan(nil)), 0)
 	}
-	assert.Assert(t, s.Waves[1].Completed, "the other one is gone")
+	assert.Assert(t, s.Waves[1].Completed, "the other machine is removed")
 }
 
-// A machine with work on it is emptied first. Another one keeps its pool going: the
-// last one would be left until the deadline asks for it.
+// TestBusyMachineIsEvacuatedFirst checks that a machine with tasks is evacuated before the call.
+// Its pool has a second machine, as the last one would be left until the deadline requires it.
 func TestBusyMachineIsEvacuatedFirst(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1"), start)
@@ -105,10 +104,9 @@
 	assert.Equal(t, len(s.Plan(f, start.Add(time.Second))), 1)
 }
 
-// Symptom: in the first seconds of a pool's turn half of its jobs were late.
-// Events: a wave begins in the same second and takes ten idle machines down
-// that the pool would have got, 24 s before its deadline.
-// Cause: waves did not regard what pools are short of.
+// TestWaveWaitsWhilePoolsAreShort guards against late jobs at the start of a demand peak: a wave
+// that starts in the same second takes down idle machines that a short pool needs, although its
+// deadline leaves time to wait.
 func TestWaveWaitsWhilePoolsAreShort(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1"), start)
@@ -121,11 +119,9 @@
 	assert.Equal(t, len(s.Plan(f, start.Add(15*time.Second))), 1, "the deadline is near")
 }
 
-// Symptom: a wave took 66 of 350 machines at the moment in which a pool's demand
-// began to rise, and a tenth of the jobs of the next two seconds were late.
-// Events: no pool is short at that moment, so that the wave takes as many machines
-// as it may have away at a time.
-// Cause: a wave asked whether pools are short, not how many machines they can spare.
+// TestWaveTakesWhatPoolsCanSpare guards against late jobs when demand starts to rise: no pool
+// is short yet, and a wave takes as many machines as it may have down in parallel instead of
+// as many as pools can spare.
 func TestWaveTakesWhatPoolsCanSpare(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -148,8 +144,9 @@
 	assert.Equal(t, len(s.Plan(f, start)), 6)
 }
 
-// A wave does not wait so long that it would have to have more machines away than
-// it may: then it takes an even part of them, though pools are short.
+// TestWaveTakesMachinesInTimeForItsDeadline checks that a wave does not wait for short pools so
+// long that it would need more machines down in parallel than allowed: it then takes machines at
+// an even rate.
 func TestWaveTakesMachinesInTimeForItsDeadline(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -165,14 +162,13 @@
 		w.Machines = append(w.Machines, m.Machine)
 	}
 	s.AddWave(w, start)
-	assert.Equal(t, len(s.Plan(f, start)), 0, "three at a time would do")
+	assert.Equal(t, len(s.Plan(f, start)), 0, "three in parallel are enough")
 	assert.Equal(t, len(s.Plan(f, start.Add(21*time.Second))), 7, "30 machines of 4 s in 19 s")
 }
 
-// Symptom: lasting tasks were ended by moves, more than their steps may miss.
-// Events: an owner is killed, starts again and claims at once; it lists machines
-// before it has read the jobs and looked at the workers.
-// Cause: a worker of which nothing was known yet counted as empty.
+// TestUnknownWorkersAreNotIdle guards against moves that end more lasting tasks than their steps
+// allow: a new owner lists machines before it has read the jobs and polled the workers, and must
+// not take a worker with unknown tasks for an idle one.
 func TestUnknownWorkersAreNotIdle(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1"), start)
@@ -184,9 +180,9 @@
 	assert.Assert(t, len(s.Plan(f, start.Add(19*time.Second))) > 0)
 }
 
-// Symptom guarded against: more machines of a wave are down than it allows.
-// Events: an owner asks for a machine and dies; its successor's list does not
-// show the machine as down yet.
+// TestPreviousOwnersCallsCountForTheWave guards against more machines of a wave down than it
+// allows: an owner makes a call for a machine and dies, and the new owner's machine list does
+// not show the machine as down yet.
 func TestPreviousOwnersCallsCountForTheWave(t *testing.T) {
 	s := mfduty.New()
 	s.AddWave(wave(1, "m-1", "m-2"), start)
@@ -199,7 +195,8 @@
 	assert.Equal(t, len(s.Plan(f, start.Add(5*time.Second))), 1)
 }
 
-// Guards against a sound machine that leaves a pool while a slow one stays.
+// TestSlowMachineLeavesFirst checks that a slow machine leaves a pool before machines of normal
+// speed.
 func TestSlowMachineLeavesFirst(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
--- a/mfduty/evacuate_test.go
+++ b/mfduty/evacuate_test.go
@@ -13,19 +13,17 @@
 	"mothferry/mfsched"
 )
 
-// Symptom: a wave of 189 machines was done 3 s after its deadline; its last fifteen
-// machines went one by one, over ten seconds.
-// Events: a wave begins while pools are short; machines without lasting tasks go
-// first. Those with lasting tasks are left to the end, and their step lets one task be
-// away at a time.
-// Cause: machines that take long to empty were begun last.
+// TestMachinesWithLastingTasksAreEvacuatedInTime guards against a wave that misses its
+// deadline: machines without lasting tasks go first, and those with lasting tasks are
+// evacuated one by one, as their step allows one task to be unavailable at a time, and must
+// not all be left to the end.
 func TestMachinesWithLastingTasksAreEvacuatedInTime(t *testing.T) {
 	const machines, lasting = 30, 12
 	s := mfduty.New()
 	w := wave(10)
 	f := mfduty.Fleet{
 		Loads: map[mothferry.WorkerID]mfsched.Load{},
-		// The pool is short all the while, so that nothing but its pace drives the wave.
+		// The pool is always short, so that only the deadline makes the wave take machines.
 		Demands: map[mothferry.ServiceID]mfdemand.Demand{"s": {Arriving: mfdemand.Amount{Cores: 10000}}},
 	}
 	for i := range machines {
@@ -56,10 +54,10 @@
 	assert.Equal(t, len(s.Waves[1].Done), machines)
 }
 
-// moveOneTask moves a lasting task away from one of the workers that are leaving.
-func moveOneTask(f mfduty.Fleet, leaving map[mothferry.WorkerID]bool) {
+// moveOneTask moves a lasting task away from one of the workers being evacuated.
+func moveOneTask(f mfduty.Fleet, evacuating map[mothferry.WorkerID]bool) {
 	for _, m := range f.Machines {
-		if leaving[m.Worker] && f.Loads[m.Worker].Lasting > 0 {
+		if evacuating[m.Worker] && f.Loads[m.Worker].Lasting > 0 {
 			f.Loads[m.Worker] = mfsched.Load{Known: true, Service: "s"}
 			return
 		}
@@ -74,11 +72,11 @@
 	}
 }
 
-// returnMachines lists machines as up again whose upkeep is over, with new lives.
+// returnMachines lists machines whose maintenance is finished as up, with new incarnations.
 func returnMachines(f mfduty.Fleet, back map[mothferry.MachineID]time.Time, now time.Time) {
 	for i := range f.Machines {
 		m := &f.Machines[i]
-		if at, away := back[m.Machine]; away && !now.Before(at) {
+		if at, down := back[m.Machine]; down && !now.Before(at) {
 			m.State, m.Worker = mothferry.MachineUp, mothferry.WorkerID(m.Machine+"-new")
 			f.Loads[m.Worker] = mfsched.Load{Known: true, Service: "s"}
 			delete(back, m.Machine)
--- a/mfduty/move.go
+++ b/mfduty/move.go
@@ -11,14 +11,14 @@
 	"mothferry/mfsched"
 )
 
-// Fleet is what moves are decided by.
+// Fleet is the state of the fleet that a plan is made from.
 type Fleet struct {
 	Machines []mothferry.Machine
 	Loads    map[mothferry.WorkerID]mfsched.Load
 	Demands  map[mothferry.ServiceID]mfdemand.Demand
-	// Standby holds the pools whose machines are off.
+	// Standby holds the pools whose machines are switched off.
 	Standby map[mothferry.ServiceID]bool
-	// Blocked holds machines that a former owner may have asked for just now.
+	// Blocked holds machines for which a previous owner may have made a call just now.
 	Blocked map[mothferry.MachineID]bool
 }
 
@@ -28,9 +28,9 @@
 	return l.Known && l.Tasks == 0 && !l.Failing
 }
 
-// planMoves makes errands of machines that move: to pools that have too few,
-// from standby first and then from pools that have too many, and from those to
-// standby. It returns how many machines nobody needs now, on standby or in pools.
+// planMoves starts moves: to pools that have too few machines, from standby first and then
+// from pools that have too many, and from the latter to standby. It returns how many machines
+// no pool needs now, on standby or in pools.
 func (s *State) planMoves(f Fleet, now time.Time) int {
 	pools := s.pools(f)
 	targets := s.sizer.Targets(pools, now)
@@ -42,46 +42,46 @@
 		s.divide(f, pools, targets, now)
 	}
 	s.PoolSizes = poolSizes(pools, needed, targets)
-	keep := func(id mothferry.ServiceID) int { return targets[id].Retain }
-	needy := poolsByShortfall(pools, targets)
-	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, keep, slowLast), now)
-	// Pools that are still short take what others only keep for a lull.
-	s.fillPools(needy, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Machines }, slowLast), now)
-	room := s.spareMachines(f, pools, targets)
-	home, ok := standbyPool(f.Standby)
+	retain := func(id mothferry.ServiceID) int { return targets[id].Retain }
+	short := poolsByShortfall(pools, targets)
+	s.fillPools(short, pools, targets, s.freeMachines(f, pools, retain, slowLast), now)
+	// Pools that are still short get what others only retain for a return of their peak.
+	s.fillPools(short, pools, targets, s.freeMachines(f, pools, func(id mothferry.ServiceID) int { return targets[id].Machines }, slowLast), now)
+	spare := s.spareMachines(f, pools, targets)
+	standby, ok := standbyPool(f.Standby)
 	if !ok {
-		return room
+		return spare
 	}
-	for _, m := range s.freeMachines(f, pools, keep, slowFirst) {
+	for _, m := range s.freeMachines(f, pools, retain, slowFirst) {
 		if !f.Standby[m.Pool] {
-			s.startMove(m, home, now)
+			s.startMove(m, standby, now)
 		}
 	}
-	return room
+	return spare
 }
 
-// spareMachines counts the machines beyond what pools need; none while a pool is short. A
-// wave that takes more would be missed: in the first seconds of a turn the machines
-// on standby are those that are about to be sent.
+// spareMachines counts the machines beyond what pools need; none while a pool is short. If a
+// wave took more, pools would be short of them: in the first seconds of a demand peak the
+// machines on standby are those that are about to be moved.
 func (s *State) spareMachines(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) int {
-	room := 0
+	spare := 0
 	for id, p := range pools {
 		if p.Machines < targets[id].Machines {
 			return 0
 		}
-		room += p.Machines - targets[id].Machines
+		spare += p.Machines - targets[id].Machines
 	}
 	for _, m := range f.Machines {
-		if _, busy := s.operations[m.Machine]; f.Standby[m.Pool] && !busy && m.State == mothferry.MachineUp {
-			room++
+		if _, underWay := s.operations[m.Machine]; f.Standby[m.Pool] && !underWay && m.State == mothferry.MachineUp {
+			spare++
 		}
 	}
-	return room
+	return spare
 }
 
-// fillPools sends free machines to the pools that miss some.
-func (s *State) fillPools(needy []mothferry.ServiceID, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, free []mothferry.Machine, now time.Time) {
-	for _, id := range needy {
+// fillPools moves free machines to the pools that are short.
+func (s *State) fillPools(short []mothferry.ServiceID, pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target, free []mothferry.Machine, now time.Time) {
+	for _, id := range short {
 		for pools[id].Machines < targets[id].Machines && len(free) > 0 {
 			if free[0].Pool != id {
 				s.startMove(free[0], id, now)
@@ -92,9 +92,9 @@
 	}
 }
 
-// countMove counts a machine for the pool that it goes to. It no longer counts for
-// the one that it leaves: a second round of the same plan would otherwise take
-// what that pool can spare once more, down to below its reserve.
+// countMove counts a machine for the pool that it moves to, and no longer for the one that it
+// leaves: the second call of fillPools in a plan would otherwise take the surplus of that pool
+// again, down to below its reserve.
 func countMove(pools map[mothferry.ServiceID]mfpool.Pool, from, to mothferry.ServiceID) {
 	if p, counted := pools[from]; counted {
 		p.Machines--
@@ -109,18 +109,18 @@
 	s.operations[m.Machine] = &operation{call: Call{Kind: KindMove, Machine: m.Machine, Pool: pool}, worker: m.Worker, since: now}
 }
 
-// standbyPool returns the pool to which machines go that nobody needs.
+// standbyPool returns the pool to which machines move that no pool needs.
 func standbyPool(standby map[mothferry.ServiceID]bool) (mothferry.ServiceID, bool) {
-	var home mothferry.ServiceID
-	for id, is := range standby {
-		if is && (home == "" || id < home) {
-			home = id
+	var pool mothferry.ServiceID
+	for id, ok := range standby {
+		if ok && (pool == "" || id < pool) {
+			pool = id
 		}
 	}
-	return home, home != ""
+	return pool, pool != ""
 }
 
-// pools counts machines by the pool that they are in or on their way to.
+// pools counts machines by the pool that they are in or are moving to.
 func (s *State) pools(f Fleet) map[mothferry.ServiceID]mfpool.Pool {
 	pools := map[mothferry.ServiceID]mfpool.Pool{}
 	for id := range f.Demands {
@@ -132,15 +132,15 @@
 	for _, m := range f.Machines {
 		size = size.Max(mfdemand.AmountOf(m.Capacity))
 		id := m.Pool
-		e := s.operations[m.Machine]
-		if e != nil && e.call.Kind == KindMove {
-			id = e.call.Pool
+		op := s.operations[m.Machine]
+		if op != nil && op.call.Kind == KindMove {
+			id = op.call.Pool
 		}
 		if f.Standby[id] {
 			continue
 		}
 		p := pools[id]
-		if f.usable(m, e) {
+		if f.usable(m, op) {
 			p.Machines++
 		}
 		pools[id] = p
@@ -156,12 +156,12 @@
 	return pools
 }
 
-// usable reports whether a machine is of use to its pool now or as soon as it has
-// moved. One that is down, does not answer, or is emptied for its upkeep is not:
-// others take its place, as what runs there has to go somewhere.
-func (f Fleet) usable(m mothferry.Machine, e *operation) bool {
+// usable reports whether a machine can run tasks of its pool now or once it has moved. One
+// that is down, unresponsive, or being evacuated for maintenance is not counted, so that it is
+// replaced: the tasks that run there need another machine.
+func (f Fleet) usable(m mothferry.Machine, op *operation) bool {
 	switch {
-	case e != nil && e.call.Kind == KindMaintenance:
+	case op != nil && op.call.Kind == KindMaintenance:
 		return false
 	case m.State == mothferry.MachineUp:
 		return !f.Loads[m.Worker].Failing
@@ -170,16 +170,17 @@
 	}
 }
 
-// freeMachines returns machines that their pool can spare, standby first; which go first of the others
-// depends on where they go. Only machines without any task are taken, so that a move ends nothing.
-func (s *State) freeMachines(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, keep func(mothferry.ServiceID) int, order func(a, b mfsched.Load) int) []mothferry.Machine {
+// freeMachines returns the machines that their pools can spare: those in reachable data centres
+// first, among them those on standby, and then by order, which depends on where they move to.
+// Only machines without tasks are selected, so that a move interrupts no task.
+func (s *State) freeMachines(f Fleet, pools map[mothferry.ServiceID]mfpool.Pool, retain func(mothferry.ServiceID) int, order func(a, b mfsched.Load) int) []mothferry.Machine {
 	surplus := map[mothferry.ServiceID]int{}
 	for id, p := range pools {
-		surplus[id] = p.Machines - keep(id)
+		surplus[id] = p.Machines - retain(id)
 	}
 	var machines, free []mothferry.Machine
 	for _, m := range f.Machines {
-		if _, busy := s.operations[m.Machine]; busy || f.Blocked[m.Machine] || m.State != mothferry.MachineUp {
+		if _, underWay := s.operations[m.Machine]; underWay || f.Blocked[m.Machine] || m.State != mothferry.MachineUp {
 			continue
 		}
 		if f.Standby[m.Pool] || surplus[m.Pool] > 0 && f.idle(m.Worker) {
@@ -196,39 +197,42 @@
 			free = append(free, m)
 		}
 	}
-	cut := unreachableDataCentres(f)
+	unreachable := unreachableDataCentres(f)
 	slices.SortStableFunc(free, func(a, b mothferry.Machine) int {
-		return cmp.Or(cmp.Compare(cut[a.DataCentre], cut[b.DataCentre]),
+		return cmp.Or(cmp.Compare(unreachable[a.DataCentre], unreachable[b.DataCentre]),
 			standbyRank(f.Standby[a.Pool])-standbyRank(f.Standby[b.Pool]), order(f.Loads[a.Worker], f.Loads[b.Worker]), cmp.Compare(a.Machine, b.Machine))
 	})
 	return free
 }
 
-// unreachableDataCentres tells of each data centre whether half of its workers do not
-// answer: it is cut off, and a machine of it that is moved would not be reached.
+// unreachableDataCentres returns 1 for each data centre in which at least half of the known
+// workers are unresponsive: it is partitioned, and a machine of it could not be reached after
+// a move.
 func unreachableDataCentres(f Fleet) map[mothferry.DataCentre]int {
-	all, out := map[mothferry.DataCentre]int{}, map[mothferry.DataCentre]int{}
+	total, unresponsive := map[mothferry.DataCentre]int{}, map[mothferry.DataCentre]int{}
 	for _, m := range f.Machines {
 		if l, known := f.Loads[m.Worker]; known {
-			all[m.DataCentre]++
+			total[m.DataCentre]++
 			if l.Failing {
-				out[m.DataCentre]++
+				unresponsive[m.DataCentre]++
 			}
 		}
 	}
-	cut := map[mothferry.DataCentre]int{}
-	for dc, n := range all {
-		if 2*out[dc] >= n {
-			cut[dc] = 1
+	unreachable := map[mothferry.DataCentre]int{}
+	for dc, n := range total {
+		if 2*unresponsive[dc] >= n {
+			unreachable[dc] = 1
 		}
 	}
-	return cut
+	return unreachable
 }
 
-// slowFirst orders loads of slow workers before others, as their machines are the first that go to
-// standby; slowLast behind them, as they are the last that another pool gets.
+// slowFirst orders slow workers before others, as their machines are the first to move to
+// standby.
 func slowFirst(a, b mfsched.Load) int { return slowRank(b) - slowRank(a) }
 
+// slowLast orders slow workers after others, as their machines are the last to move to another
+// pool.
 func slowLast(a, b mfsched.Load) int { return slowFirst(b, a) }
 
 func slowRank(l mfsched.Load) int {
@@ -245,7 +249,8 @@
 	return 1
 }
 
-// poolsByShortfall orders pools by how many machines they miss.
+// poolsByShortfall returns the pools ordered by how many machines they are short of, the most
+// first.
 func poolsByShortfall(pools map[mothferry.ServiceID]mfpool.Pool, targets map[mothferry.ServiceID]mfpool.Target) []mothferry.ServiceID {
 	var ids []mothferry.ServiceID
 	for id := range pools {
--- a/mfduty/move_test.go
+++ b/mfduty/move_test.go
@@ -13,10 +13,9 @@
 	"mothferry/mfsched"
 )
 
-// Symptom: after a takeover machines did not follow the demand for seconds.
-// Events: the former owner had moved two thirds of the machines to the pool whose
-// turn it was; its successor sees that pool first with all of them.
-// Cause: a pool kept half of what it had when its owner first saw it.
+// TestTakeoverDuringPeakFollowsDemand guards against machines that stay where a previous owner
+// moved them: a pool's minimum must not depend on the size that the pool has when a new owner
+// first sees it, which may be that of its demand peak.
 func TestTakeoverDuringPeakFollowsDemand(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -40,15 +39,14 @@
 	assert.Assert(t, to["b"] >= 20, "%v", to)
 }
 
-// Symptom: in the first seconds of a turn that began just after a takeover half of
-// the jobs were late.
-// Cause: all machines waited until the former owner's last call was three seconds
-// old, though it had called few of them.
+// TestOnlyMachinesOfPreviousCallsAreBlocked guards against late jobs in a demand peak just
+// after a takeover: only the machines that the previous owner made calls for are blocked, not
+// all machines until three seconds after its last call.
 func TestOnlyMachinesOfPreviousCallsAreBlocked(t *testing.T) {
 	s := mfduty.New()
-	off := map[mothferry.ServiceID]bool{"off": true}
+	standby := map[mothferry.ServiceID]bool{"off": true}
 	f := mfduty.Fleet{
-		Standby: off, Demands: map[mothferry.ServiceID]mfdemand.Demand{"a": {Arriving: mfdemand.Amount{Cores: 10}}},
+		Standby: standby, Demands: map[mothferry.ServiceID]mfdemand.Demand{"a": {Arriving: mfdemand.Amount{Cores: 10}}},
 		Blocked: map[mothferry.MachineID]bool{"m-1": true},
 	}
 	for _, id := range []mothferry.MachineID{"m-1", "m-2"} {
@@ -64,12 +62,9 @@
 	assert.Equal(t, len(s.Plan(f, start)), 1)
 }
 
-// Symptom: a pool without demand is left without its reserve as another's turn
-// begins, and gets machines back a moment later.
-// Events: one plan finds the other pool short twice: it takes what the first can
-// spare, and then the same number again.
-// Cause: the machines that were sent away first still count for the pool that
-// they leave when the second round works out what it can spare.
+// TestDonorKeepsItsReserve guards against a pool without demand that falls below its reserve
+// when another pool's demand rises: a plan selects free machines twice, and those that the
+// first pass moves away must not count for the pool again in the second.
 func TestDonorKeepsItsReserve(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
@@ -87,10 +82,9 @@
 	assert.Assert(t, len(s.Plan(f, start)) <= len(f.Machines)-reserve)
 }
 
-// Symptom: in a wave a pool had one machine to place tasks on, and lasting tasks
-// of the others waited for many seconds.
-// Events: most of a small pool's machines are emptied for their upkeep at once.
-// Cause: they counted as machines of the pool, so that none came in their place.
+// TestMachinesOfAWaveAreReplaced guards against lasting tasks that wait because most machines
+// of a small pool are evacuated for maintenance in parallel: machines under evacuation must
+// not count for the pool, so that others replace them.
 func TestMachinesOfAWaveAreReplaced(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
--- a/mfduty/poolsize.go
+++ b/mfduty/poolsize.go
@@ -9,13 +9,13 @@
 
 // PoolSize is how many machines a pool has and should have.
 type PoolSize struct {
-	// Need is how many its demand asks for by each resource.
+	// Need is how many machines its demand requires by each resource.
 	Need mfpool.Need
-	// Present counts those that are in it or on their way to it, Needed those that its
-	// demand asks for, and Target those that it is to have.
+	// Present counts the machines that are in the pool or are moving to it, Needed those that
+	// its demand requires, and Target those that it should get.
 	Present, Needed, Target int
-	// Binding is the resource that asks for most of them; empty if the size follows from
-	// something else, such as the fewest that a pool keeps.
+	// Binding is the resource that requires the most machines; empty if the size follows from
+	// something else, such as the pool's minimum.
 	Binding Resource
 }
 
@@ -28,10 +28,10 @@
 	ResourceMemory Resource = "memory"
 )
 
-// Shortfall is how many machines the pool misses of those that its demand asks for.
-func (r PoolSize) Shortfall() int { return max(0, r.Needed-r.Target) }
+// Shortfall returns by how many machines the target is below what the demand requires.
+func (p PoolSize) Shortfall() int { return max(0, p.Needed-p.Target) }
 
-// bindingResource returns the resource that decides a need.
+// bindingResource returns the resource that determines a need.
 func bindingResource(need mfpool.Need, needed int) Resource {
 	switch {
 	case need.Cores < needed && need.Memory < needed:
@@ -43,27 +43,27 @@
 	}
 }
 
-// poolSizes tells of all pools what was decided.
+// poolSizes returns the sizes of all pools that a plan has decided on.
 func poolSizes(pools map[mothferry.ServiceID]mfpool.Pool, needed map[mothferry.ServiceID]int, targets map[mothferry.ServiceID]mfpool.Target) map[mothferry.ServiceID]PoolSize {
-	rooms := map[mothferry.ServiceID]PoolSize{}
+	sizes := map[mothferry.ServiceID]PoolSize{}
 	for id, p := range pools {
 		n := p.Need()
-		rooms[id] = PoolSize{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Machines, Binding: bindingResource(n, needed[id])}
+		sizes[id] = PoolSize{Need: n, Present: p.Machines, Needed: needed[id], Target: targets[id].Machines, Binding: bindingResource(n, needed[id])}
 	}
-	return rooms
+	return sizes
 }
 
-// Bounds of what is told of rooms.
 const (
-	// reportInterval is how often a pool's changes are told.
+	// reportInterval is the shortest interval between two reports of small changes of a pool.
 	reportInterval = time.Second
-	// minReportFraction is by which part of the last target, and at least tellLeast machines, a
-	// target has to differ to be told at once.
+	// minReportFraction of the last reported target, and at least minReportMachines, is the
+	// change of a target that is reported at once.
 	minReportFraction = 0.25
 	minReportMachines = 3
 )
 
-// PoolSizeLog decides which changes of rooms are worth a line. The zero value is ready for use.
+// PoolSizeLog limits the rate at which changes of pool sizes are logged. The zero value is ready
+// for use.
 type PoolSizeLog struct {
 	reported map[mothferry.ServiceID]reportedSize
 }
@@ -73,23 +73,23 @@
 	at   time.Time
 }
 
-// Changed returns the rooms that are to be told of now: those whose target has changed by much,
-// and others that have changed once a second.
-func (l *PoolSizeLog) Changed(rooms map[mothferry.ServiceID]PoolSize, now time.Time) map[mothferry.ServiceID]PoolSize {
+// Changed returns the pool sizes to log now: those whose target has changed by much since the
+// last report, and once per reportInterval others that have changed.
+func (l *PoolSizeLog) Changed(sizes map[mothferry.ServiceID]PoolSize, now time.Time) map[mothferry.ServiceID]PoolSize {
 	if l.reported == nil {
 		l.reported = map[mothferry.ServiceID]reportedSize{}
 	}
-	due := map[mothferry.ServiceID]PoolSize{}
-	for id, r := range rooms {
-		old, known := l.reported[id]
-		change := max(r.Target-old.size.Target, old.size.Target-r.Target)
-		much := change >= minReportMachines && float64(change) >= minReportFraction*float64(old.size.Target)
-		other := r.Target != old.size.Target || r.Binding != old.size.Binding || r.Shortfall() != old.size.Shortfall()
-		if known && !much && (!other || now.Sub(old.at) < reportInterval) {
+	changed := map[mothferry.ServiceID]PoolSize{}
+	for id, size := range sizes {
+		last, known := l.reported[id]
+		change := max(size.Target-last.size.Target, last.size.Target-size.Target)
+		large := change >= minReportMachines && float64(change) >= minReportFraction*float64(last.size.Target)
+		differs := size.Target != last.size.Target || size.Binding != last.size.Binding || size.Shortfall() != last.size.Shortfall()
+		if known && !large && (!differs || now.Sub(last.at) < reportInterval) {
 			continue
 		}
-		l.reported[id] = reportedSize{size: r, at: now}
-		due[id] = r
+		l.reported[id] = reportedSize{size: size, at: now}
+		changed[id] = size
 	}
-	return due
+	return changed
 }
--- a/mfduty/poolsize_test.go
+++ b/mfduty/poolsize_test.go
@@ -12,7 +12,8 @@
 	"mothferry/mfsched"
 )
 
-// Pools of two services on twenty machines, of which memory binds one.
+// TestPoolSizesNameBindingResource checks the binding resource of pools that need mostly cores,
+// mostly memory, or nothing.
 func TestPoolSizesNameBindingResource(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{Loads: map[mothferry.WorkerID]mfsched.Load{}, Demands: map[mothferry.ServiceID]mfdemand.Demand{
@@ -27,13 +28,14 @@
 	assert.Equal(t, s.PoolSizes["b"].Needed, s.PoolSizes["b"].Need.Memory)
 }
 
-// A target that wavers by one machine must not write a line a round.
+// TestPoolSizeLogIsRateLimited checks that a target that alternates by one machine is not logged
+// in each plan, and that large changes are logged at once.
 func TestPoolSizeLogIsRateLimited(t *testing.T) {
 	var l mfduty.PoolSizeLog
 	lines := 0
 	for i := range 100 {
-		rooms := map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 20 + i%2, Needed: 20 + i%2}}
-		lines += len(l.Changed(rooms, start.Add(time.Duration(i)*100*time.Millisecond)))
+		sizes := map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 20 + i%2, Needed: 20 + i%2}}
+		lines += len(l.Changed(sizes, start.Add(time.Duration(i)*100*time.Millisecond)))
 	}
 	assert.Assert(t, lines >= 5 && lines <= 11, "%d", lines)
 	assert.Equal(t, len(l.Changed(map[mothferry.ServiceID]mfduty.PoolSize{"a": {Target: 40}}, start.Add(10*time.Second))), 1)
