--- a/mfpool/divide.go
+++ b/mfpool/divide.go
@@ -9,30 +9,32 @@
 	"mothferry"
 )
 
-// surplusTolerance is by which part of its share a pool may have more before machines leave it.
+// surplusTolerance is the fraction of its share that a pool may have in excess before machines
+// leave it.
 const surplusTolerance = 0.5
 
-// claimTimeConstant is how long what a pool asked for counts in its claim: single jobs come and
-// go by much of a short pool's need, and half of a move's time is what a claim may lag.
+// claimTimeConstant is the decay time of smoothed claims: single jobs change the need of a short
+// pool by a large fraction, and a claim may lag by half the time that a move takes.
 const claimTimeConstant = time.Second
 
-// Claim is what a pool asks for of a fleet that is too small for all pools.
+// Claim is the number of machines that a pool requires of a fleet that is too small for all
+// pools.
 type Claim struct {
-	// Floor is the fewest machines that it should have, Prompt how many the work asks
-	// for that can still be in time, and Need how many all its work asks for.
+	// Floor is the pool's minimum, OnTime the number required by the work that can still be on
+	// time, and Need the number required by all its work.
 	Floor, OnTime, Need int
 }
 
-// Divide returns how many of a fleet's machines each pool gets: its floor first, then what
-// is needed for work that can still be in time, then the rest of its need.
+// Divide returns how many of a fleet's machines each pool gets: its floor first, then the
+// machines for work that can still be on time, then the rest of its need.
 //
-// The load it answers: several pools are asked at the same time for more than the fleet can
-// do. A machine that works on what can still be in time does as much for callers in one pool
-// as in another, so that all pools are cut by the same part; one that has only late work left
-// brings least. The shares are continuous in the claims, so that small changes of demand move
-// few machines.
+// It is used when several pools together have more demand than the fleet can serve. A machine
+// for work that can still be on time has the same value to callers in any pool, so all pools
+// get the same fraction of their claims; a machine for work that is late already has the least
+// value. The shares are continuous in the claims, so that small changes of demand move few
+// machines.
 func Divide(fleet int, claims map[mothferry.ServiceID]Claim) map[mothferry.ServiceID]int {
-	d := division{left: fleet}
+	d := division{remaining: fleet}
 	ids := slices.Sorted(maps.Keys(claims))
 	for _, id := range ids {
 		c := claims[id]
@@ -45,16 +47,16 @@
 	d.distribute(func(c Claim) int { return c.Floor })
 	d.distribute(func(c Claim) int { return c.OnTime })
 	d.distribute(func(c Claim) int { return c.Need })
-	out := map[mothferry.ServiceID]int{}
+	shares := map[mothferry.ServiceID]int{}
 	for i, id := range ids {
-		out[id] = d.shares[i]
+		shares[id] = d.shares[i]
 	}
-	return out
+	return shares
 }
 
-// ApplyHysteresis returns how many machines a pool should have of which the fleet's division says
-// share: what it has, if that is not much more. A move takes a machine away from callers
-// for two seconds, and the shares change with each job that comes.
+// ApplyHysteresis returns how many machines a pool with a share of the fleet should have: those
+// that it has, if they are not many more than its share. A move makes a machine unavailable for
+// two seconds, and the shares change with each job that is submitted.
 func ApplyHysteresis(share, machines int) int {
 	if machines > share && float64(machines) <= float64(share)*(1+surplusTolerance)+1 {
 		return machines
@@ -62,27 +64,27 @@
 	return share
 }
 
-// division is a fleet that is being divided.
+// division is the state of a call of Divide.
 type division struct {
-	claims []Claim
-	shares []int
-	left   int
+	claims    []Claim
+	shares    []int
+	remaining int
 }
 
-// distribute gives machines to the pools that have fewer than they want, one after the other to
-// the one that has got fewest for what it missed.
+// distribute gives machines, one at a time, to the pools that have fewer than they want, each to
+// the one that has received the smallest fraction of what it was short of.
 func (d *division) distribute(want func(Claim) int) {
-	missing, given := make([]int, len(d.claims)), make([]int, len(d.claims))
+	shortfall, given := make([]int, len(d.claims)), make([]int, len(d.claims))
 	for i, c := range d.claims {
-		missing[i] = max(0, want(c)-d.shares[i])
+		shortfall[i] = max(0, want(c)-d.shares[i])
 	}
-	for ; d.left > 0; d.left-- {
+	for ; d.remaining > 0; d.remaining-- {
 		next := -1
 		for i := range given {
-			if given[i] == missing[i] {
+			if given[i] == shortfall[i] {
 				continue
 			}
-			if next < 0 || missing[i]*(given[next]+1) > missing[next]*(given[i]+1) {
+			if next < 0 || shortfall[i]*(given[next]+1) > shortfall[next]*(given[i]+1) {
 				next = i
 			}
 		}
@@ -94,25 +96,25 @@
 	}
 }
 
-// smoothedClaim is what a pool asked for of late, in machines.
+// smoothedClaim is an exponentially smoothed claim of a pool, in machines.
 type smoothedClaim struct{ onTime, need float64 }
 
-// Claims returns what pools ask for of a fleet that is too small. What each asked for
-// within claimMemory counts too.
+// Claims returns the claims of pools on a fleet that is too small, smoothed over time with
+// claimTimeConstant.
 func (s *Sizer) Claims(pools map[mothferry.ServiceID]Pool, now time.Time) map[mothferry.ServiceID]Claim {
-	kept := math.Exp(-now.Sub(s.claimedAt).Seconds() / claimTimeConstant.Seconds())
-	claims, smooth := map[mothferry.ServiceID]Claim{}, map[mothferry.ServiceID]smoothedClaim{}
+	weight := math.Exp(-now.Sub(s.claimedAt).Seconds() / claimTimeConstant.Seconds())
+	claims, smoothed := map[mothferry.ServiceID]Claim{}, map[mothferry.ServiceID]smoothedClaim{}
 	for id, p := range pools {
 		c := p.claim()
 		v := smoothedClaim{onTime: float64(c.OnTime), need: float64(c.Need)}
-		if old, known := s.claims[id]; known {
-			v.onTime += kept * (old.onTime - v.onTime)
-			v.need += kept * (old.need - v.need)
+		if previous, known := s.claims[id]; known {
+			v.onTime += weight * (previous.onTime - v.onTime)
+			v.need += weight * (previous.need - v.need)
 		}
-		smooth[id] = v
+		smoothed[id] = v
 		c.OnTime, c.Need = int(math.Round(v.onTime)), int(math.Round(v.need))
 		claims[id] = c
 	}
-	s.claims, s.claimedAt = smooth, now
+	s.claims, s.claimedAt = smoothed, now
 	return claims
 }
--- a/mfpool/divide_test.go
+++ b/mfpool/divide_test.go
@@ -13,21 +13,21 @@
 	"mothferry/mfpool"
 )
 
-// drawClaims draws a fleet and what pools ask for of it.
+// drawClaims draws the size of a fleet and the claims of pools on it.
 func drawClaims(t *rapid.T) (int, map[mothferry.ServiceID]mfpool.Claim) {
 	claims := map[mothferry.ServiceID]mfpool.Claim{}
 	for i := range rapid.IntRange(1, 12).Draw(t, "pools") {
 		floor := rapid.IntRange(0, 8).Draw(t, "floor")
-		prompt := floor + rapid.IntRange(0, 200).Draw(t, "prompt")
+		onTime := floor + rapid.IntRange(0, 200).Draw(t, "on-time")
 		claims[mothferry.ServiceID(fmt.Sprintf("p%02d", i))] = mfpool.Claim{
-			Floor: floor, OnTime: prompt, Need: prompt + rapid.IntRange(0, 200).Draw(t, "late"),
+			Floor: floor, OnTime: onTime, Need: onTime + rapid.IntRange(0, 200).Draw(t, "late"),
 		}
 	}
 	return rapid.IntRange(0, 500).Draw(t, "fleet"), claims
 }
 
-// A division must neither give more than there is, nor leave machines idle beside need, nor
-// leave a pool without its floor.
+// TestDivisionUsesTheFleet checks that a division neither exceeds the fleet, nor leaves machines
+// idle while a pool needs them, nor leaves a pool below its floor.
 func TestDivisionUsesTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, claims := drawClaims(t)
@@ -44,7 +44,7 @@
 	})
 }
 
-// A pool must not get fewer machines because it is asked for more.
+// TestDivisionIsMonotone checks that a pool does not get fewer machines if its claim rises.
 func TestDivisionIsMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, claims := drawClaims(t)
@@ -58,7 +58,7 @@
 	})
 }
 
-// No pool must pay for another's demand with more than the same part of its own.
+// TestPoolsAreCutProportionally checks that all pools get the same fraction of their claims.
 func TestPoolsAreCutProportionally(t *testing.T) {
 	shares := mfpool.Divide(100, map[mothferry.ServiceID]mfpool.Claim{
 		"large": {OnTime: 150, Need: 150}, "small": {OnTime: 50, Need: 50},
@@ -66,20 +66,22 @@
 	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"large": 75, "small": 25})
 }
 
-// Work that can't be in time any more must not keep machines from work that can.
+// TestOnTimeWorkGoesFirst checks that work that is late already does not keep machines that work
+// needs that can still be on time.
 func TestOnTimeWorkGoesFirst(t *testing.T) {
 	pool := func(d mfdemand.Demand) mfpool.Pool {
 		return mfpool.Pool{MachineCapacity: mfdemand.Amount{Cores: 16}, Demand: d, EqualShare: 20}
 	}
 	late := mfdemand.Demand{ReadyWork: mfdemand.Amount{Cores: 5000}, Ready: mfdemand.Amount{Cores: 5000}}
-	prompt := late
-	prompt.OnTimeWork, prompt.OnTimeReady = late.ReadyWork, late.Ready
+	onTime := late
+	onTime.OnTimeWork, onTime.OnTimeReady = late.ReadyWork, late.Ready
 	var s mfpool.Sizer
-	shares := mfpool.Divide(60, s.Claims(map[mothferry.ServiceID]mfpool.Pool{"late": pool(late), "prompt": pool(prompt)}, start))
-	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"late": 4, "prompt": 56})
+	shares := mfpool.Divide(60, s.Claims(map[mothferry.ServiceID]mfpool.Pool{"late": pool(late), "on-time": pool(onTime)}, start))
+	assert.DeepEqual(t, shares, map[mothferry.ServiceID]int{"late": 4, "on-time": 56})
 }
 
-// A claim must follow a turn within the time that a machine takes to move.
+// TestClaimsFollowDemand checks that a claim follows a rise in demand within the time that a
+// machine takes to move.
 func TestClaimsFollowDemand(t *testing.T) {
 	pools := func(cores float64) map[mothferry.ServiceID]mfpool.Pool {
 		return map[mothferry.ServiceID]mfpool.Pool{"a": {
--- a/mfpool/pool_test.go
+++ b/mfpool/pool_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A pool must not be sized by cores where its tasks fill the memory first.
+// TestPoolIsSizedByBindingResource checks that a pool is sized by memory if its tasks fill the
+// memory before the cores.
 func TestPoolIsSizedByBindingResource(t *testing.T) {
 	pool := mfpool.Pool{
 		MachineCapacity: mfdemand.Amount{Cores: 16, Memory: 32},
@@ -28,7 +29,7 @@
 	assert.Equal(t, target(), n.Memory)
 	pool.Demand.Arriving.Memory = 32
 	assert.Equal(t, target(), n.Cores)
-	// Machines that tell no memory are sized by cores.
+	// Pools of machines with unknown memory are sized by cores.
 	pool.Demand.Arriving.Memory, pool.MachineCapacity.Memory = 320, 0
 	assert.Equal(t, target(), n.Cores)
 }
