--- a/mflease/keeper.go
+++ b/mflease/keeper.go
@@ -18,26 +18,26 @@
 	"mothferry/mfroute"
 )
 
-// Parts of the lease: it is renewed after a third, and the holder itself
-// counts it as lapsed when an eighth is still left, so that an act begun just
-// before the end is not still under way after it.
+// A lease is renewed once a third of it has passed. The holder itself treats it as expired while
+// an eighth is still left, so that an action started just before the end is not still under way
+// after it.
 const (
 	renewDivisor  = 3
 	marginDivisor = 8
 )
 
-// maxHolders is how many daemons of a data centre hold shards. More would
-// spread the work thinner, at the price of one renewed row each.
+// maxHolders is how many daemons of a data centre hold shards. More holders would spread the
+// work further, at the cost of renewing one row each.
 const maxHolders = 4
 
-// Keeper keeps this daemon's lease and claims shards.
+// Keeper renews this daemon's lease and claims shards.
 type Keeper struct {
 	Self       mothferry.DaemonID
 	DataCentre mothferry.DataCentre
 	Table      mothferry.Table
 	Clock      mothferry.Clock
 	Lease      time.Duration
-	// Live returns the daemons of this data centre believed alive, this one included.
+	// Live returns the daemons of this data centre that are believed alive, including this one.
 	Live func() []mothferry.DaemonID
 	// Wanted returns the pools of this data centre that need a holder.
 	Wanted   func() []mothferry.PoolID
@@ -53,7 +53,7 @@
 	watches map[mothferry.DaemonID]rowWatch
 }
 
-// Run keeps the lease until ctx ends, then gives it back.
+// Run renews the lease and claims shards until ctx ends, then releases the lease.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.watches = map[mothferry.DaemonID]rowWatch{}
 	failures := mflog.Episode{Log: k.Log}
@@ -61,9 +61,9 @@
 		err := k.round(ctx)
 		switch {
 		case err == nil:
-			failures.Succeeded("Lease can be kept again.")
+			failures.Succeeded("lease renewal and shard claims succeed again")
 		case ctx.Err() == nil:
-			failures.Failed(err, "Lease cannot be kept.")
+			failures.Failed(err, "lease renewal or shard claim failed")
 		}
 		if !mfclock.Sleep(ctx, k.Clock, k.Lease/(2*renewDivisor)) {
 			k.resign()
@@ -72,7 +72,7 @@
 	}
 }
 
-// Holdings returns the shards that this daemon may act for at this moment.
+// Holdings returns the shards that this daemon may act for now.
 func (k *Keeper) Holdings() []Holding {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Lost gives up a shard that a failed check showed to have changed hands.
+// Lost drops a shard if a failed check showed that its holder has changed.
 func (k *Keeper) Lost(f mothferry.Fence) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// round renews the lease if it is due and claims what this daemon should hold.
+// round renews the lease if needed and claims the shards that this daemon should hold.
 func (k *Keeper) round(ctx context.Context) error {
 	if !k.isCandidate() && !k.holdsAny() {
 		return nil
@@ -146,16 +146,16 @@
 	return len(k.held) > 0
 }
 
-// renew writes this daemon's row if a third of the lease has passed. A lease
-// that lapsed may be renewed: whoever took a shard meanwhile deleted the row,
-// and the renewal's check then fails.
+// renew writes this daemon's row if a third of the lease has passed. An expired lease may be
+// renewed: a daemon that took over a shard meanwhile has deleted the row, and the renewal's
+// check then fails.
 func (k *Keeper) renew(ctx context.Context) error {
 	k.mutex.Lock()
 	version, until := k.version, k.until
 	k.mutex.Unlock()
-	began := k.Clock.Now()
-	full := k.Lease - k.Lease/marginDivisor
-	if version != 0 && until.Sub(began) > full-k.Lease/renewDivisor {
+	sentAt := k.Clock.Now()
+	validFor := k.Lease - k.Lease/marginDivisor
+	if version != 0 && until.Sub(sentAt) > validFor-k.Lease/renewDivisor {
 		return nil
 	}
 	token := k.NewToken()
@@ -177,15 +177,14 @@
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.version, k.until = next, began.Add(full)
+	k.version, k.until = next, sentAt.Add(validFor)
 	return nil
 }
 
-// renewConflict handles a row that is not as this daemon last wrote it. The
-// row may be its own earlier write whose reply was lost, or that of an
-// earlier run of this daemon; it may be gone because the shards were taken
-// over. In each case the next round goes on from the row as it is, and the
-// lease is not lengthened by this one.
+// renewConflict handles a row that is not as this daemon last wrote it. The row may be an
+// earlier write of this daemon whose reply was lost, or of a previous run of it; it may be
+// deleted because the shards were taken over. In each case the next round continues from the
+// stored row, and this renewal does not extend the lease.
 func (k *Keeper) renewConflict(row mothferry.Row) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -219,20 +218,20 @@
 	return v, nil
 }
 
-// dropTakenOver drops shards that the table shows in other hands.
+// dropTakenOver drops the held shards whose row has changed since this daemon claimed them.
 func (k *Keeper) dropTakenOver(v view) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for pool, s := range k.held {
 		if v.shards[pool].version != s.version {
 			delete(k.held, pool)
-			k.Log.WithField("pool", pool).Warn("Shard was taken over.")
+			k.Log.WithField("pool", pool).Warn("shard taken over by another daemon")
 		}
 	}
 }
 
-// claimIfFirst claims a pool's shard if it has no holder and this daemon comes
-// first for it, or goes on holding what its row already says is its own.
+// claimIfFirst claims a pool's shard if it has no holder and this daemon ranks first for it,
+// or if its row names this daemon although it does not hold the shard.
 func (k *Keeper) claimIfFirst(ctx context.Context, v view, pool mothferry.PoolID, now time.Time) error {
 	s, exists := v.shards[pool]
 	if exists && s.row.Holder != k.Self && !expired(s.row.Holder, v, k.watches, now, k.Lease) {
@@ -247,8 +246,8 @@
 	return k.claim(ctx, v, pool, s)
 }
 
-// ranksFirst reports whether this daemon comes first among those alive for a pool.
-// A shard whose row names this daemon, from before a lapse, is its to reclaim.
+// ranksFirst reports whether this daemon ranks first for a pool among those alive. A shard whose
+// row names this daemon, from before its lease expired, is always reclaimed by it.
 func (k *Keeper) ranksFirst(pool mothferry.PoolID, holder mothferry.DaemonID, exists bool) bool {
 	if exists && holder == k.Self {
 		return true
@@ -259,8 +258,8 @@
 	return len(ranked) > 0 && mfroute.Rank(string(pool), ranked)[0] == k.Self
 }
 
-// claim takes a shard with the next epoch. The transaction deletes the old
-// holder's row, so that a renewal under way cannot bring its lease back.
+// claim takes over a shard with the next epoch. The transaction deletes the previous holder's
+// row, so that a renewal in flight cannot restore its lease.
 func (k *Keeper) claim(ctx context.Context, v view, pool mothferry.PoolID, s observedShard) error {
 	shard := mothferry.Shard{DataCentre: k.DataCentre, Pool: pool}
 	row := shardRow{Holder: k.Self, Epoch: s.row.Epoch + 1, Token: k.NewToken()}
@@ -269,32 +268,32 @@
 		return err
 	}
 	k.mutex.Lock()
-	own, until := k.version, k.until
+	ownVersion, until := k.version, k.until
 	k.mutex.Unlock()
-	if own == 0 || !k.Clock.Now().Before(until) {
+	if ownVersion == 0 || !k.Clock.Now().Before(until) {
 		return nil
 	}
 	txn := mothferry.Txn{
 		Checks: []mothferry.Check{
 			{Key: ShardKey(shard), Version: s.version},
-			{Key: holderKey(k.DataCentre, k.Self), Version: own},
+			{Key: holderKey(k.DataCentre, k.Self), Version: ownVersion},
 		},
 		Writes: []mothferry.Write{{Key: ShardKey(shard), Value: data}},
 	}
-	if old := s.row.Holder; old != "" && old != k.Self {
-		oldRow := v.holders[old]
-		txn.Checks = append(txn.Checks, mothferry.Check{Key: holderKey(k.DataCentre, old), Version: oldRow.Version})
-		if oldRow.Version != 0 {
-			txn.Writes = append(txn.Writes, mothferry.Write{Key: holderKey(k.DataCentre, old), Delete: true})
-			delete(v.holders, old)
+	if previous := s.row.Holder; previous != "" && previous != k.Self {
+		previousRow := v.holders[previous]
+		txn.Checks = append(txn.Checks, mothferry.Check{Key: holderKey(k.DataCentre, previous), Version: previousRow.Version})
+		if previousRow.Version != 0 {
+			txn.Writes = append(txn.Writes, mothferry.Write{Key: holderKey(k.DataCentre, previous), Delete: true})
+			delete(v.holders, previous)
 		}
 	}
 	version, err := k.Table.Commit(ctx, txn)
 	var conflict *mothferry.ErrConflict
 	if errors.As(err, &conflict) {
-		// Somebody else was faster, or the holder is alive. A claim of this
-		// daemon whose reply was lost is found by the next round: the row
-		// names this daemon, which then claims it again with a new epoch.
+		// Another daemon was faster, or the holder is alive. If the conflict is with a claim of
+		// this daemon whose reply was lost, the next round finds a row that names this daemon,
+		// and claims the shard again with a new epoch.
 		return nil
 	}
 	if err != nil {
@@ -306,14 +305,14 @@
 		k.held = map[mothferry.PoolID]observedShard{}
 	}
 	k.held[pool] = observedShard{row: row, version: version}
-	k.Log.WithField("pool", pool).WithField("epoch", row.Epoch).Info("Shard is held.")
+	k.Log.WithField("pool", pool).WithField("epoch", row.Epoch).Info("shard claimed")
 	return nil
 }
 
-// resignTimeout bounds the giving back of a lease at a stop.
+// resignTimeout limits the release of the lease when the daemon stops.
 const resignTimeout = time.Second
 
-// resign deletes this daemon's row, so that others need not wait for its lease to end.
+// resign deletes this daemon's row, so that other daemons need not wait for its lease to expire.
 func (k *Keeper) resign() {
 	k.mutex.Lock()
 	version := k.version
@@ -330,6 +329,6 @@
 		Writes: []mothferry.Write{{Key: key, Delete: true}},
 	})
 	if err != nil {
-		k.Log.WithError(err).Info("Lease could not be given back; it ends by itself.")
+		k.Log.WithError(err).Info("lease could not be released; it expires by itself")
 	}
 }
--- a/mflease/keeper_test.go
+++ b/mflease/keeper_test.go
@@ -17,8 +17,8 @@
 
 const lease = 2 * time.Second
 
-// keepers returns daemons that share a table and a clock but are driven one
-// round at a time.
+// keepers returns the keepers of daemons that share a table and a clock. Tests run their
+// rounds one at a time.
 func keepers(n int) ([]*Keeper, *mffake.Table, *mffake.Clock) {
 	clock := mffake.NewClock()
 	table := mffake.NewTable(clock)
@@ -39,10 +39,9 @@
 	return all, table, clock
 }
 
-// TestOneHolderAtATime lets daemons run rounds in any order, with pauses of any
-// length, lost calls and lost replies. At no moment may two of them believe
-// that they hold the same shard, and a shard's epoch only grows. A write that a
-// holder prepared before a pause must not take effect after a takeover.
+// TestOneHolderAtATime runs rounds of daemons in any order, with pauses of any length, lost
+// calls and lost replies. At no time may two daemons hold the same shard, a shard's epoch must
+// not decrease, and a write prepared before a takeover must not take effect after it.
 func TestOneHolderAtATime(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		all, table, clock := keepers(3)
@@ -68,7 +67,7 @@
 					pool := h.Fence.Shard.Pool
 					assert.Assert(t, holders[pool] == "", "%s and %s both hold %s", holders[pool], o.Self, pool)
 					holders[pool] = o.Self
-					assert.Assert(t, h.Fence.Epoch >= epochs[pool], "epoch of %s went back", pool)
+					assert.Assert(t, h.Fence.Epoch >= epochs[pool], "epoch of %s decreased", pool)
 					epochs[pool] = h.Fence.Epoch
 				}
 			}
@@ -84,7 +83,7 @@
 	})
 }
 
-// runUntilHeld runs rounds until every pool has a holder and returns the first's.
+// runUntilHeld runs rounds until pool p has a holder and returns its keeper.
 func runUntilHeld(t *testing.T, all []*Keeper, clock *mffake.Clock) *Keeper {
 	t.Helper()
 	for range 100 {
@@ -98,62 +97,61 @@
 		}
 		clock.Advance(lease / 6)
 	}
-	t.Fatal("nobody holds the shard")
+	t.Fatal("the shard has no holder")
 	return nil
 }
 
-// TestTakeover: a holder that dies loses its shards after its lease and not
-// before; one that resigns loses them at once.
+// TestTakeover checks that a holder that dies loses its shards once its lease has expired and
+// not before, and one that resigns loses them at once.
 func TestTakeover(t *testing.T) {
 	all, _, clock := keepers(3)
-	dead := runUntilHeld(t, all, clock)
-	var rest []*Keeper
+	failed := runUntilHeld(t, all, clock)
+	var remaining []*Keeper
 	for _, k := range all {
-		if k != dead {
-			rest = append(rest, k)
+		if k != failed {
+			remaining = append(remaining, k)
 		}
 	}
-	began := clock.Now()
-	next := runUntilHeld(t, rest, clock)
-	took := clock.Now().Sub(began)
+	startedAt := clock.Now()
+	next := runUntilHeld(t, remaining, clock)
+	took := clock.Now().Sub(startedAt)
 	t.Logf("taken over after %s with a lease of %s", took, lease)
 	assert.Assert(t, took >= lease-lease/renewDivisor && took <= lease+lease/2)
-	assert.Assert(t, len(dead.Holdings()) == 0)
+	assert.Assert(t, len(failed.Holdings()) == 0)
 	next.resign()
-	began = clock.Now()
-	runUntilHeld(t, rest, clock)
-	assert.Equal(t, clock.Now().Sub(began), time.Duration(0))
+	startedAt = clock.Now()
+	runUntilHeld(t, remaining, clock)
+	assert.Equal(t, clock.Now().Sub(startedAt), time.Duration(0))
 }
 
-// TestRenewalRacesTakeover: symptom, two daemons act for one shard. Sequence:
-// a holder's renewal is on its way while another daemon, which saw its row
-// unchanged for the whole lease, takes the shard; the renewal arrives later
-// and succeeds. Cause: a takeover that leaves the holder's row as it was.
+// TestRenewalRacesTakeover guards against two daemons that act for one shard: a holder's renewal
+// is in flight while another daemon, which has seen its row unchanged for the whole lease, takes
+// over the shard. The renewal would succeed if the takeover did not change the holder's row.
 func TestRenewalRacesTakeover(t *testing.T) {
 	all, _, clock := keepers(2)
-	old := runUntilHeld(t, all, clock)
+	holder := runUntilHeld(t, all, clock)
 	other := all[0]
-	if other == old {
+	if other == holder {
 		other = all[1]
 	}
 	assert.NilError(t, other.round(t.Context()))
 	clock.Advance(lease / 2)
-	old.Table = &delayedTable{Table: old.Table, beforeCommit: func() {
+	holder.Table = &delayedTable{Table: holder.Table, beforeCommit: func() {
 		clock.Advance(lease / 2)
 		assert.NilError(t, other.round(t.Context()))
 	}}
-	assert.NilError(t, old.renew(t.Context()))
+	assert.NilError(t, holder.renew(t.Context()))
 	assert.Equal(t, len(other.Holdings()), 2)
-	assert.Equal(t, len(old.Holdings()), 0)
+	assert.Equal(t, len(holder.Holdings()), 0)
 }
 
-// delayedTable is a table whose next commit arrives after something else happened.
+// delayedTable is a table that calls beforeCommit before each commit.
 type delayedTable struct {
 	mothferry.Table
 	beforeCommit func()
 }
 
-func (l *delayedTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
-	l.beforeCommit()
-	return l.Table.Commit(ctx, txn)
+func (t *delayedTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+	t.beforeCommit()
+	return t.Table.Commit(ctx, txn)
 }
--- a/mflease/lease.go
+++ b/mflease/lease.go
@@ -1,22 +1,22 @@
-// Package mflease gives shards of the fleet to one daemon each. A daemon
-// keeps one lease for all its shards: a row of the platform's table that it
-// renews. Each shard has a row that names its holder and epoch.
+// Package mflease assigns each shard of the fleet to one daemon. A daemon has one lease for all
+// its shards: a row of the platform's table that it renews. Each shard has a row that names its
+// holder and epoch.
 //
-// The cases that the rows guard against:
+// The rows cover these cases:
 //
-//   - A holder dies: its row stops changing. Another daemon that has watched
-//     the row unchanged for the whole lease takes its shards over.
-//   - A holder is paused past its lease and resumes: it measures the lease on
-//     its own monotonic clock from before the last renewal was sent, finds it
-//     lapsed and acts no more until it has claimed anew.
-//   - A renewal is under way while the shard is taken over: the takeover
-//     deletes the holder's row, and the renewal's check of that row fails.
-//   - A write of the old holder is under way: it checks the shard's row, which
-//     the takeover has changed, and fails. Acts on workers carry the epoch.
-//   - A reply is lost after the write: the row is read back, and its token
-//     tells whose write it was.
+//   - A holder dies: its row stops changing. Another daemon that has seen the row unchanged for
+//     the whole lease takes over its shards.
+//   - A holder is paused past its lease and resumes: it measures the lease on its own monotonic
+//     clock from before the last renewal was sent, finds it expired, and does not act until it
+//     has renewed the lease or claimed the shard again.
+//   - A renewal is in flight while the shard is taken over: the takeover deletes the holder's
+//     row, and the renewal's check of that row fails.
+//   - A write of the previous holder is in flight: it checks the shard's row, which the takeover
+//     has changed, and fails. Orders to workers carry the epoch.
+//   - A reply is lost after the write: the next round continues from the stored row, and claims a
+//     shard whose row names this daemon again, with the next epoch.
 //
-// No clock is compared with another machine's.
+// Clocks of different machines are never compared.
 package mflease
 
 import (
@@ -55,8 +55,8 @@
 	return mothferry.Key(fmt.Sprintf("shards/%s/", dc))
 }
 
-// ShardKey returns the key of a shard's row. Its version changes only when
-// the shard changes hands.
+// ShardKey returns the key of a shard's row. The version of the row changes only when the
+// shard's holder or epoch changes.
 func ShardKey(s mothferry.Shard) mothferry.Key {
 	return shardPrefix(s.DataCentre) + mothferry.Key(s.Pool)
 }
@@ -77,11 +77,11 @@
 // Holding is the right to act for one shard.
 type Holding struct {
 	Fence mothferry.Fence
-	// Check makes a transaction fail once the shard has changed hands.
+	// Check makes a transaction fail once the shard has been claimed again.
 	Check mothferry.Check
 }
 
-// view is what a read of the table showed of a data centre.
+// view is the result of a read of a data centre's rows.
 type view struct {
 	holders map[mothferry.DaemonID]mothferry.Row
 	shards  map[mothferry.PoolID]observedShard
@@ -92,28 +92,28 @@
 	version mothferry.Version
 }
 
-// rowWatch remembers since when each holder's row is unchanged.
+// rowWatch records since when a holder's row is unchanged.
 type rowWatch struct {
 	version mothferry.Version
 	since   time.Time
 }
 
-// updateWatches brings the watches up to a view. A row that changed, or is seen
-// first, starts anew.
+// updateWatches returns the watches as of a view. The time of a row that has changed, or is
+// seen for the first time, starts again.
 func updateWatches(watches map[mothferry.DaemonID]rowWatch, v view, now time.Time) map[mothferry.DaemonID]rowWatch {
 	next := map[mothferry.DaemonID]rowWatch{}
 	for d, row := range v.holders {
-		old, ok := watches[d]
-		if !ok || old.version != row.Version {
-			old = rowWatch{version: row.Version, since: now}
+		w, ok := watches[d]
+		if !ok || w.version != row.Version {
+			w = rowWatch{version: row.Version, since: now}
 		}
-		next[d] = old
+		next[d] = w
 	}
 	return next
 }
 
-// expired reports whether a shard's holder has lost its lease: its row is gone,
-// or has been watched unchanged for the whole lease.
+// expired reports whether the lease of a shard's holder has expired: its row is deleted, or
+// has been seen unchanged for the whole lease.
 func expired(holder mothferry.DaemonID, v view, watches map[mothferry.DaemonID]rowWatch, now time.Time, lease time.Duration) bool {
 	if _, ok := v.holders[holder]; !ok {
 		return true
