--- a/mfjournal/journal.go
+++ b/mfjournal/journal.go
@@ -1,12 +1,11 @@
-// Package mfjournal lays the progress of jobs out in rows. What callers read has a row
-// for each job, written when it begins and when it is over; what only a successor needs,
-// each start and end between the two, goes into a log.
+// Package mfjournal lays out the progress of jobs in rows. What callers read has a row of its
+// own for each job, written when the job starts and when it finishes. What only a new owner
+// needs, the starts and ends of tasks in between, is appended to a log.
 //
-// The load it answers: a job with a dozen tasks changes some fourteen times. With a row
-// for each change the store's bound of 100 entries a transaction holds an owner to 2,700
-// changes a second, as commits follow one another: with 300 jobs a second seven thousand
-// tasks waited beside machines that were half empty. With the log a commit has a row or
-// two for all changes in it.
+// A job with a dozen tasks changes about fourteen times. With a row for each change, the
+// store's limit of 100 entries per transaction restricts an owner to 2,700 changes a second,
+// as its commits are sequential: at 300 jobs a second 7,000 tasks queued up while machines
+// were half idle. With the log, a commit has one or two rows for all its changes.
 package mfjournal
 
 import (
@@ -24,82 +23,82 @@
 	"mothferry/mfrecord"
 )
 
-// Bounds of the journal.
 const (
-	// MaxRows is the most rows that Write returns: a transaction takes 100 entries, of
-	// which the owner needs some itself.
+	// MaxRows is the largest number of rows that Write returns: a transaction takes 100 entries,
+	// some of which the owner needs for its own rows.
 	MaxRows = 90
-	// MaxOwnRows is how many jobs with rows of their own one call of Write takes.
+	// MaxOwnRows is the largest number of jobs that need rows of their own in one call of Write.
 	MaxOwnRows = 60
-	// maxSegmentBytes bounds the value of a log's row with several jobs, in bytes; the store takes 65,536.
+	// maxSegmentBytes limits the value of a log row with several jobs; the store takes up to
+	// 65,536 bytes.
 	maxSegmentBytes = 48 << 10
-	// maxSegments is how many rows the log may have before what is in the oldest ones is
-	// written to the jobs' own rows. A successor reads them all; with 35 commits a
-	// second that is two seconds, as long as most jobs take.
+	// maxSegments is how many rows the log may have before the live entries of the oldest ones
+	// are moved to the jobs' own rows. A new owner reads them all; with 35 commits a second
+	// they hold two seconds of changes, as long as most jobs take.
 	maxSegments = 64
-	// maxMovedRows is how many jobs' rows one commit rewrites for that.
+	// maxMovedRows is the largest number of entries that one commit moves.
 	maxMovedRows = 12
 )
 
-// logFormat is the version of the log's stored form.
+// logFormat is the format version of the log's rows.
 const logFormat = 1
 
-// ErrNewerFormat reports a row of the log that a newer program wrote.
+// ErrNewerFormat reports a log row that a newer version of the program wrote.
 type ErrNewerFormat struct{ Format int }
 
 // Error implements error.
 func (e *ErrNewerFormat) Error() string {
-	return fmt.Sprintf("a row of the log has format %d, this program reads up to %d", e.Format, logFormat)
+	return fmt.Sprintf("read log row: format %d is newer than the supported format %d", e.Format, logFormat)
 }
 
-// Journal knows where the newest progress of each job is stored. The zero value is that
-// of a shard without jobs. It counts on each of its writes being stored before the next.
+// Journal tracks where the newest progress of each job is stored. The zero value is the
+// journal of a shard without jobs. Each write must be stored before the next one.
 type Journal struct {
-	// MaxLog bounds the log in bytes; zero for no bound but that of segments. An owner whose
-	// link is narrow has few commits with many changes each, and a successor on such a link
-	// takes seconds to read them.
+	// MaxLog limits the size of the log; zero leaves only the limit on segments. An owner on a
+	// slow link makes few commits with many changes each, and a new owner on such a link takes
+	// seconds to read them.
 	MaxLog mothferry.Bytes
 
 	// lastSegment is the number of the newest segment; zero for none.
 	lastSegment uint64
-	// jobs holds where the newest progress is of each job that is not over.
+	// jobs holds the newest progress of each unfinished job and where it is stored.
 	jobs map[mothferry.JobID]*entry
-	// live holds for each segment that is still stored the jobs whose newest progress is in it.
+	// live holds, for each stored segment, the jobs whose newest progress is in it.
 	live map[uint64]map[mothferry.JobID]*entry
-	// sizes holds the bytes of each segment that is still stored.
+	// sizes holds the size of each stored segment.
 	sizes     map[uint64]mothferry.Bytes
 	readStats ReadStats
 }
 
-// ReadStats tells which rows a journal was read from, for the log.
+// ReadStats describes the rows that a journal was read from, for log lines.
 type ReadStats struct {
 	// Oldest and Newest are the numbers of the segments; zero for an empty log.
 	Oldest, Newest uint64
-	// After is the newest segment that a job's own row says it is newer than.
+	// After is the newest segment that any job's own row records as older than itself.
 	After uint64
-	// Superseded counts the entries of the log that are older than their job's own row.
+	// Superseded counts the log entries that are older than their job's own row.
 	Superseded int
 }
 
-// ReadStats returns what the journal was read from; zero if it was not read.
+// ReadStats describes the rows that the journal was read from; it is zero if it was not read.
 func (j *Journal) ReadStats() ReadStats { return j.readStats }
 
 // entry is the newest progress of one job.
 type entry struct {
-	// segment holds it; zero for the job's own row.
+	// segment is the number of the segment that holds it; zero for the job's own row.
 	segment  uint64
 	progress mfjob.Progress
 }
 
-// NeedsOwnRow reports whether the progress of a job needs a row of its own: callers are told by
-// it that the job has begun, or how it ended.
+// NeedsOwnRow reports whether the progress of a job needs a row of its own, by which callers see
+// that the job has started, or how it ended.
 func (j *Journal) NeedsOwnRow(id mothferry.JobID, p mfjob.Progress) bool {
-	_, known := j.jobs[id]
-	return !known || p.State.Final()
+	_, started := j.jobs[id]
+	return !started || p.State.Final()
 }
 
-// Write returns the rows that store what has changed, at most MaxRows of them if no more
-// than MaxOwn of the jobs need rows of their own.
+// Write returns the rows that store the changed progress, at most MaxRows of them if no more
+// than MaxOwnRows of the jobs need rows of their own.
 func (j *Journal) Write(changed map[mothferry.JobID]mfjob.Progress) []mothferry.Write {
 	if j.jobs == nil {
 		j.jobs, j.live, j.sizes = map[mothferry.JobID]*entry{}, map[uint64]map[mothferry.JobID]*entry{}, map[uint64]mothferry.Bytes{}
@@ -135,33 +134,33 @@
 	return append(rows, j.deleteEmptySegments(MaxRows-len(rows))...)
 }
 
-// unlink takes a job out of the segment that its newest progress was in.
+// unlink removes a job from the segment that held its newest progress.
 func (j *Journal) unlink(id mothferry.JobID) {
 	if e, known := j.jobs[id]; known && e.segment != 0 {
 		delete(j.live[e.segment], id)
 	}
 }
 
-// addSegment gives a segment its number and returns its row.
+// addSegment assigns a number to a segment and returns its row.
 func (j *Journal) addSegment(s *segment) mothferry.Write {
 	j.lastSegment++
-	at := map[mothferry.JobID]*entry{}
+	jobs := map[mothferry.JobID]*entry{}
 	for id, e := range s.entries {
 		e.segment = j.lastSegment
-		at[id] = e
+		jobs[id] = e
 	}
-	j.live[j.lastSegment] = at
+	j.live[j.lastSegment] = jobs
 	value := s.value()
 	j.sizes[j.lastSegment] = mothferry.Bytes(len(value))
 	return mothferry.Write{Table: mfrecord.TableLog, Part: mfrecord.PartShard, Key: mfrecord.LogKey(j.lastSegment), Value: value}
 }
 
-// storedSegments returns the numbers of the segments that are still stored, the oldest first. An
-// earlier program may have left gaps between them.
+// storedSegments returns the numbers of the stored segments, the oldest first. An older
+// version of the program may have left gaps between them.
 func (j *Journal) storedSegments() []uint64 { return slices.Sorted(maps.Keys(j.live)) }
 
-// moveOldEntries writes jobs of the oldest segments to their own rows if there are too many
-// segments, or too many bytes in them.
+// moveOldEntries moves live entries of the oldest segments to the jobs' own rows if there are
+// too many segments or they are too large together.
 func (j *Journal) moveOldEntries(changed map[mothferry.JobID]mfjob.Progress) []mothferry.Write {
 	var rows []mothferry.Write
 	size := mothferry.Bytes(0)
@@ -178,7 +177,7 @@
 			if len(rows) >= maxMovedRows {
 				break
 			}
-			if _, newer := changed[id]; newer {
+			if _, rewritten := changed[id]; rewritten {
 				continue
 			}
 			e := j.live[n][id]
@@ -190,11 +189,11 @@
 	return rows
 }
 
-// deleteEmptySegments deletes the oldest segments while nothing in them is the newest of its job.
-func (j *Journal) deleteEmptySegments(most int) []mothferry.Write {
+// deleteEmptySegments deletes the oldest segments as long as they have no live entries.
+func (j *Journal) deleteEmptySegments(limit int) []mothferry.Write {
 	var rows []mothferry.Write
 	for _, n := range j.storedSegments() {
-		if len(j.live[n]) > 0 || len(rows) >= most {
+		if len(j.live[n]) > 0 || len(rows) >= limit {
 			break
 		}
 		delete(j.live, n)
@@ -204,7 +203,7 @@
 	return rows
 }
 
-// ownRow is the row of one job; after is the newest segment when it was written.
+// ownRow returns a job's own row; after is the newest segment at the time of the write.
 func ownRow(id mothferry.JobID, p mfjob.Progress, after uint64) mothferry.Write {
 	p.After = after
 	return mothferry.Write{Table: mfrecord.TableProgress, Part: mfrecord.PartShard, Key: mothferry.Key(id), Value: mfjob.EncodeProgress(p)}
@@ -216,7 +215,7 @@
 	text    []byte
 }
 
-// fits reports whether one more entry fits; the first one always does.
+// fits reports whether another entry fits into the segment; the first one always does.
 func (s *segment) fits(text []byte) bool {
 	return len(s.entries) == 0 || len(s.text)+len(text) <= maxSegmentBytes
 }
@@ -237,8 +236,8 @@
 
 func (s *segment) value() []byte { return append(s.text, `}}`...) }
 
-// Read takes in what is stored of a shard: the rows of its jobs and of its log. It
-// returns the newest progress of each job and the journal to go on with.
+// Read restores a shard's journal from the jobs' own rows and the rows of the log. It returns
+// the newest progress of each job and the journal to continue with.
 func Read(own, log []mothferry.Row) (map[mothferry.JobID]mfjob.Progress, *Journal, error) {
 	j := &Journal{jobs: map[mothferry.JobID]*entry{}, live: map[uint64]map[mothferry.JobID]*entry{}, sizes: map[uint64]mothferry.Bytes{}}
 	newest := map[mothferry.JobID]mfjob.Progress{}
@@ -250,7 +249,8 @@
 		}
 		id := mothferry.JobID(r.Key)
 		newest[id], written[id] = p, r.Version
-		// An older program goes by After: numbers of the log must not begin again below it.
+		// Older versions of the program order entries by After: the numbers of new segments
+		// must be above it.
 		j.lastSegment = max(j.lastSegment, p.After)
 		if !p.State.Final() {
 			j.jobs[id] = &entry{progress: p}
@@ -267,8 +267,9 @@
 	return newest, j, nil
 }
 
-// readSegment takes in one row of the log; they come in order. Written holds the versions of the
-// jobs' own rows: the store's versions alone tell which of two rows was written last.
+// readSegment applies one row of the log; rows are applied in order. Written holds the
+// versions of the jobs' own rows: only the store's versions show which of two rows was written
+// last.
 func (j *Journal) readSegment(r mothferry.Row, newest map[mothferry.JobID]mfjob.Progress, written map[mothferry.JobID]mothferry.Version) error {
 	number, err := mfrecord.LogNumber(r.Key)
 	if err != nil {
@@ -292,9 +293,9 @@
 	j.live[number] = map[mothferry.JobID]*entry{}
 	j.sizes[number] = mothferry.Bytes(len(r.Value))
 	for id, data := range stored.Jobs {
-		// A job whose row is newer, is over, or was forgotten needs nothing of the log.
-		e, open := j.jobs[id]
-		if !open {
+		// Entries of finished or deleted jobs, and of jobs whose own row is newer, are skipped.
+		e, unfinished := j.jobs[id]
+		if !unfinished {
 			continue
 		}
 		if r.Version < written[id] {
--- a/mfjournal/journal_test.go
+++ b/mfjournal/journal_test.go
@@ -17,7 +17,7 @@
 	"mothferry/mfrecord"
 )
 
-// store holds the rows of a shard, which have the version of the transaction that wrote them.
+// store holds the rows of a shard with the version of the transaction that wrote each.
 type store struct {
 	tables  map[mothferry.TableID]map[mothferry.Key]mothferry.Row
 	version mothferry.Version
@@ -43,10 +43,10 @@
 	return slices.Collect(maps.Values(s.tables[table]))
 }
 
-// logRows is how many rows the log has.
+// logRows returns how many rows the log has.
 func (s *store) logRows() int { return len(s.tables[mfrecord.TableLog]) }
 
-// read reads the shard as a successor does.
+// read reads the shard as a new owner does.
 func (s *store) read(t assert.TestingT) (map[mothferry.JobID]mfjob.Progress, *mfjournal.Journal) {
 	newest, j, err := mfjournal.Read(s.rows(mfrecord.TableProgress), s.rows(mfrecord.TableLog))
 	assert.NilError(t, err)
@@ -65,10 +65,10 @@
 	return p
 }
 
-// Symptom guarded against: a successor starts a task that runs, or one that is done.
-// Events: jobs begin, change, last, end and are forgotten, in any order; owners change.
-// What holds: a successor reads of each job what was written last, a commit never has
-// more rows than a transaction takes, and the log does not grow with time.
+// TestSuccessorReadsWhatWasWrittenLast guards against a new owner that starts a task that is
+// running or done. Jobs start, change, last and finish in any order, and owners change: a new
+// owner must read the last written progress of each job, a commit must not have more rows than
+// a transaction takes, and the log must not grow over time.
 func TestSuccessorReadsWhatWasWrittenLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stored, want := newStore(), map[mothferry.JobID]mfjob.Progress{}
@@ -80,7 +80,7 @@
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
 				id := mothferry.JobID(fmt.Sprintf("j-%03d", rapid.IntRange(0, jobs-1).Draw(t, "job")))
 				p := progress(round+1, rapid.IntRange(1, 40).Draw(t, "tasks"))
-				if rapid.IntRange(0, 9).Draw(t, "over") == 0 {
+				if rapid.IntRange(0, 9).Draw(t, "finishes") == 0 {
 					p = mfjob.Progress{State: mfjob.StateCompleted}
 				}
 				if want[id].State.Final() || own >= mfjournal.MaxOwnRows {
@@ -109,8 +109,8 @@
 	})
 }
 
-// The load at its worst: 400 jobs change between two commits. With a row each they took
-// five commits; they take one.
+// TestManyChangesTakeOneCommit checks that 400 jobs that change between two commits fit into one
+// commit. With a row for each job they would take five.
 func TestManyChangesTakeOneCommit(t *testing.T) {
 	j := &mfjournal.Journal{}
 	stored := newStore()
@@ -127,8 +127,8 @@
 	assert.DeepEqual(t, got, all)
 }
 
-// A job that lasts changes rarely: it is written to its own row after a while, so that
-// the log can be deleted.
+// TestOldEntriesAreMoved checks that the progress of a job that rarely changes is moved to its
+// own row after some time, so that old segments can be deleted.
 func TestOldEntriesAreMoved(t *testing.T) {
 	j := &mfjournal.Journal{}
 	stored := newStore()
@@ -147,19 +147,21 @@
 	assert.DeepEqual(t, got["lasts"], progress(2, 2))
 }
 
+// TestNewerLogIsRefused checks that a log row of a newer format is an error.
 func TestNewerLogIsRefused(t *testing.T) {
 	_, _, err := mfjournal.Read(nil, []mothferry.Row{{Key: mfrecord.LogKey(1), Value: []byte(`{"format":2}`)}})
 	assert.ErrorType(t, err, &mfjournal.ErrNewerFormat{})
 }
 
-// A successor on a link of 2 Mbit/s never got to run its shard: the log had 62 segments of up
-// to 48 kB, as a slow owner has few commits with many changes each, and reading them took twelve
-// seconds. The log is bounded in bytes as well as in segments.
+// TestLogIsBoundedInBytes guards against a new owner on a link of 2 Mbit/s that never gets to
+// run its shard: an owner on a slow link makes few commits with many changes each, so that 62
+// segments of up to 48 kB took twelve seconds to read. The log is limited in bytes as well as
+// in segments.
 func TestLogIsBoundedInBytes(t *testing.T) {
 	j := &mfjournal.Journal{MaxLog: 256 * mothferry.Kibibyte}
 	stored := newStore()
 	for round := range 300 {
-		// Each round has a job that then lasts, and keeps its segment from being deleted.
+		// Each round starts a lasting job whose progress keeps its segment from being deleted.
 		lasts := mothferry.JobID(fmt.Sprintf("lasts-%03d", round))
 		stored.apply(t, j.Write(map[mothferry.JobID]mfjob.Progress{lasts: progress(1, 2)}))
 		changed := map[mothferry.JobID]mfjob.Progress{lasts: progress(2, 2)}
@@ -177,7 +179,8 @@
 	assert.Equal(t, len(got), 500)
 }
 
-// What an owner writes after an empty log must not be older than what was stored before.
+// TestProgressAfterAnEmptiedLogIsRead checks that progress written after the log was empty
+// does not count as older than what was stored before.
 func TestProgressAfterAnEmptiedLogIsRead(t *testing.T) {
 	j := &mfjournal.Journal{}
 	stored := newStore()
@@ -195,21 +198,23 @@
 	assert.DeepEqual(t, got["lasts"], progress(2, 2))
 }
 
-// A successor must read what was written last also where the log is often empty, and so must a program that goes by After.
+// TestFewJobsAreReadAsWrittenLast checks that a new owner reads the last written progress also
+// if the log is often empty, and that segment numbers stay above After, by which older
+// versions of the program order entries.
 func TestFewJobsAreReadAsWrittenLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stored, want := newStore(), map[mothferry.JobID]mfjob.Progress{}
 		j := &mfjournal.Journal{}
-		var open []mothferry.JobID
+		var unfinished []mothferry.JobID
 		for round := range 60 {
-			if len(open) == 0 || len(open) < 4 && rapid.IntRange(0, 3).Draw(t, "begins") == 0 {
-				open = append(open, mothferry.JobID(fmt.Sprintf("j-%03d", round)))
+			if len(unfinished) == 0 || len(unfinished) < 4 && rapid.IntRange(0, 3).Draw(t, "starts") == 0 {
+				unfinished = append(unfinished, mothferry.JobID(fmt.Sprintf("j-%03d", round)))
 			}
-			at := rapid.IntRange(0, len(open)-1).Draw(t, "job")
-			id, p := open[at], progress(round+1, 2)
-			if rapid.IntRange(0, 4).Draw(t, "over") == 0 {
+			at := rapid.IntRange(0, len(unfinished)-1).Draw(t, "job")
+			id, p := unfinished[at], progress(round+1, 2)
+			if rapid.IntRange(0, 4).Draw(t, "finishes") == 0 {
 				p = mfjob.Progress{State: mfjob.StateCompleted}
-				open = slices.Delete(open, at, at+1)
+				unfinished = slices.Delete(unfinished, at, at+1)
 			}
 			highest := uint64(0)
 			for _, row := range stored.rows(mfrecord.TableProgress) {
@@ -236,7 +241,8 @@
 	})
 }
 
-// Large jobs that change in one commit must not make a row that the store refuses.
+// TestLargeJobsGetRowsOfTheirOwn checks that large jobs that change in one commit do not
+// produce a log row that is too large for the store.
 func TestLargeJobsGetRowsOfTheirOwn(t *testing.T) {
 	large := progress(2, mfjob.MaxTasks)
 	tasks := large.Occurrences[0][0].Tasks
@@ -256,7 +262,8 @@
 	assert.DeepEqual(t, got, all)
 }
 
-// A successor must not go through the numbers that a log lacks, or delete rows that were never there.
+// TestGapInTheLogCostsNothing checks that a new owner neither iterates over missing segment
+// numbers nor deletes rows that do not exist.
 func TestGapInTheLogCostsNothing(t *testing.T) {
 	const far = 3_000_000
 	stored := newStore()
@@ -272,16 +279,16 @@
 	}
 	got, j := stored.read(t)
 	assert.DeepEqual(t, got["lasts"], progress(3, 2))
-	began := time.Now()
+	startedAt := time.Now()
 	for round := range 20 {
 		rows := j.Write(map[mothferry.JobID]mfjob.Progress{"lasts": progress(round+4, 2)})
 		for _, w := range rows {
-			_, there := stored.tables[w.Table][w.Key]
-			assert.Assert(t, there || !w.Delete, "%s is deleted and is not there", w.Key)
+			_, exists := stored.tables[w.Table][w.Key]
+			assert.Assert(t, exists || !w.Delete, "%s is deleted and does not exist", w.Key)
 		}
 		stored.apply(t, rows)
 	}
-	assert.Assert(t, time.Since(began) < time.Second, "%v", time.Since(began))
+	assert.Assert(t, time.Since(startedAt) < time.Second, "%v", time.Since(startedAt))
 	assert.Equal(t, stored.logRows(), 1)
 	got, _ = stored.read(t)
 	assert.DeepEqual(t, got["lasts"], progress(23, 2))
--- a/mfjournal/numbering_test.go
+++ b/mfjournal/numbering_test.go
@@ -11,7 +11,9 @@
 	"mothferry/mfrecord"
 )
 
-// A log that an older program numbered anew, far below what jobs' rows name, must not fill commits with deletions of absent rows.
+// TestRenumberedLogFillsNoCommits checks that a log that an older version of the program
+// numbered from one again, far below After in the jobs' own rows, does not fill commits with
+// deletions of rows that do not exist.
 func TestRenumberedLogFillsNoCommits(t *testing.T) {
 	const highest, commits = 100_000, 20
 	lasts := progress(1, 2)
