--- a/mfintake/intake.go
+++ b/mfintake/intake.go
@@ -52,7 +52,7 @@
 	// Off holds the features that are switched off.
 	Off mothferry.FeaturesOff
 	// OnResult is called with the result of each submission; it may be nil.
-	OnResult func(queue mothferry.QueueID, account mothferry.AccountID, end SubmitResult)
+	OnResult func(queue mothferry.QueueID, account mothferry.AccountID, result SubmitResult)
 
 	mutex           sync.Mutex
 	admission       mfshare.AdmissionController
