--- a/errors.go
+++ b/errors.go
@@ -158,8 +158,8 @@
 	RefusalRun OrderRefusal = "run"
 	// RefusalLate: the order's lease end has passed.
 	RefusalLate OrderRefusal = "late"
-	// RefusalRoom: the task doesn't fit.
-	RefusalRoom OrderRefusal = "room"
+	// RefusalCapacity: the task doesn't fit.
+	RefusalCapacity OrderRefusal = "room"
 	// RefusalTicket: the ticket is missing or no longer valid.
 	RefusalTicket OrderRefusal = "ticket"
 	// RefusalUnhealthy: the worker refuses for the moment.
@@ -182,13 +182,13 @@
 // Error implements error.
 func (e *ErrOrderRefused) Error() string { return "order refused: " + string(e.Refusal) }
 
-// ErrOtherLife reports that another life of a worker answers at an address:
+// ErrIncarnationEnded reports that another life of a worker answers at an address:
 // the one that was meant is over, with all that it ran.
-type ErrOtherLife struct {
+type ErrIncarnationEnded struct {
 	Worker WorkerID
 }
 
 // Error implements error.
-func (e *ErrOtherLife) Error() string {
+func (e *ErrIncarnationEnded) Error() string {
 	return fmt.Sprintf("worker %s is over: another life answers at its address", e.Worker)
 }
--- a/feature.go
+++ b/feature.go
@@ -18,16 +18,16 @@
 	// FeatureStragglers learns how fast workers are, places tasks by when they would
 	// end, and starts tasks again elsewhere that fall behind.
 	FeatureStragglers Feature = "stragglers"
-	// FeatureRooms sizes pools by whichever of cores and memory binds, and divides a
+	// FeaturePoolSizes sizes pools by whichever of cores and memory binds, and divides a
 	// fleet that is too small for all of them.
-	FeatureRooms Feature = "rooms"
+	FeaturePoolSizes Feature = "rooms"
 	// FeatureForwarding passes callers' requests on to a host that the store serves.
 	FeatureForwarding Feature = "forwarding"
 )
 
 // AllFeatures lists all features.
 func AllFeatures() []Feature {
-	return []Feature{FeatureShares, FeatureStragglers, FeatureRooms, FeatureForwarding}
+	return []Feature{FeatureShares, FeatureStragglers, FeaturePoolSizes, FeatureForwarding}
 }
 
 // FeaturesOff is the set of features that are switched off; nil switches off none.
--- a/feature_test.go
+++ b/feature_test.go
@@ -12,7 +12,7 @@
 func TestParseFeaturesOff(t *testing.T) {
 	off, err := mothferry.ParseFeaturesOff("shares, rooms")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, off, mothferry.FeaturesOff{mothferry.FeatureShares: true, mothferry.FeatureRooms: true})
+	assert.DeepEqual(t, off, mothferry.FeaturesOff{mothferry.FeatureShares: true, mothferry.FeaturePoolSizes: true})
 	off, err = mothferry.ParseFeaturesOff("")
 	assert.NilError(t, err)
 	assert.Equal(t, len(off), 0)
--- a/fleet.go
+++ b/fleet.go
@@ -51,10 +51,10 @@
 // WorkerID names a worker. A restart brings a new id, or another LifeStart under the same.
 type WorkerID string
 
-// LifeStart is when a life of a worker began, in milliseconds since 1970 by its own time of
+// IncarnationStart is when a life of a worker began, in milliseconds since 1970 by its own time of
 // day. It tells lives apart that have one id; a later life has a larger one. Zero where it is
 // not told.
-type LifeStart int64
+type IncarnationStart int64
 
 // MachineID names the hardware below a worker. It stays the same over restarts.
 type MachineID string
@@ -105,12 +105,12 @@
 	EndFailed EndCause = "failed"
 	// EndStopped: it was told to stop.
 	EndStopped EndCause = "stopped"
-	// EndLapsed: its worker's lease ran out.
-	EndLapsed EndCause = "lapsed"
-	// EndPartner: another member of its gang ended.
-	EndPartner EndCause = "partner_ended"
-	// EndAlone: the other members of its gang did not arrive in time.
-	EndAlone EndCause = "alone"
+	// EndLeaseExpired: its worker's lease ran out.
+	EndLeaseExpired EndCause = "lapsed"
+	// EndGangMember: another member of its gang ended.
+	EndGangMember EndCause = "partner_ended"
+	// EndGangIncomplete: the other members of its gang did not arrive in time.
+	EndGangIncomplete EndCause = "alone"
 )
 
 // StartOrder tells a worker to start one run of a task.
@@ -125,13 +125,13 @@
 	Ticket string
 }
 
-// LookOrder asks a worker what it runs and extends the lease of all of it.
-type LookOrder struct {
+// PollOrder asks a worker what it runs and extends the lease of all of it.
+type PollOrder struct {
 	Epoch Epoch
 	// Until is when the lease ends; zero leaves it as it is.
 	Until WorkerClock
-	// Noted is the last end that need not be listed again.
-	Noted EndNumber
+	// LastEndSeen is the last end that need not be listed again.
+	LastEndSeen EndNumber
 	// Wait is how long the worker may wait for an end before it answers.
 	Wait time.Duration
 }
@@ -143,8 +143,8 @@
 	Checkpoint Checkpoint
 	// Percent is how much of the work is done; for a lasting task 100 means at work.
 	Percent int
-	// Tail is a serving task's response time at its tail. Figures of others are left out.
-	Tail time.Duration
+	// TailLatency is a serving task's response time at its tail. Figures of others are left out.
+	TailLatency time.Duration
 }
 
 // EndedTask is one entry of a worker's list of ends.
@@ -156,13 +156,13 @@
 	Checkpoint Checkpoint
 }
 
-// LookReport is a worker's answer to a look.
-type LookReport struct {
+// PollReport is a worker's answer to a look.
+type PollReport struct {
 	Clock WorkerClock
-	// Born is when the life that answers began.
-	Born    LifeStart
-	Running []RunningTask
-	Ended   []EndedTask
+	// StartedAt is when the life that answers began.
+	StartedAt IncarnationStart
+	Running   []RunningTask
+	Ended     []EndedTask
 }
 
 // TaskWorkers gives orders to workers of tasks. Errors: ErrOrderRefused if
@@ -171,7 +171,7 @@
 type TaskWorkers interface {
 	Start(ctx context.Context, at WorkerAddress, order StartOrder) (WorkerClock, error)
 	Stop(ctx context.Context, at WorkerAddress, task TaskName, run RunNumber, epoch Epoch) (WorkerClock, error)
-	Look(ctx context.Context, at WorkerAddress, order LookOrder) (LookReport, error)
+	Poll(ctx context.Context, at WorkerAddress, order PollOrder) (PollReport, error)
 	// Pace lets a task work at a percentage of its speed.
 	Pace(ctx context.Context, at WorkerAddress, task TaskName, run RunNumber, percent int, epoch Epoch) (WorkerClock, error)
 }
@@ -188,11 +188,11 @@
 
 // States of a machine.
 const (
-	MachineUp      MachineState = "up"
-	MachineMoving  MachineState = "moving"
-	MachineUpkeep  MachineState = "upkeep"
-	MachineDown    MachineState = "down"
-	MachineUnknown MachineState = "unknown"
+	MachineUp          MachineState = "up"
+	MachineMoving      MachineState = "moving"
+	MachineMaintenance MachineState = "upkeep"
+	MachineDown        MachineState = "down"
+	MachineUnknown     MachineState = "unknown"
 )
 
 // Machine is one machine as the platform lists it.
@@ -220,5 +220,5 @@
 type Machines interface {
 	List(ctx context.Context) ([]Machine, error)
 	Move(ctx context.Context, machine MachineID, pool ServiceID, fence MachineFence) error
-	Upkeep(ctx context.Context, machine MachineID, wave WaveID, fence MachineFence) error
+	StartMaintenance(ctx context.Context, machine MachineID, wave WaveID, fence MachineFence) error
 }
--- a/mfduty/divide_test.go
+++ b/mfduty/divide_test.go
@@ -88,7 +88,7 @@
 // TestDivisionCanBeDisabled checks that a short fleet is not divided while the feature is off.
 func TestDivisionCanBeDisabled(t *testing.T) {
 	s := mfduty.New()
-	s.Off = mothferry.FeaturesOff{mothferry.FeatureRooms: true}
+	s.Off = mothferry.FeaturesOff{mothferry.FeaturePoolSizes: true}
 	s.Plan(shortFleet(), start)
 	assert.Equal(t, len(s.Evacuating()), 0)
 }
--- a/mfduty/duty.go
+++ b/mfduty/duty.go
@@ -244,7 +244,7 @@
 			if op.phase == phaseEvacuating && f.Loads[m.Worker].Lasting > 0 {
 				lastingEvacuating++
 			}
-		case m.State == mothferry.MachineUpkeep, f.Blocked[id] && !w.Done[id]:
+		case m.State == mothferry.MachineMaintenance, f.Blocked[id] && !w.Done[id]:
 			// A machine that a previous owner made a call for may be going down.
 			down++
 		case !w.Done[id] && !underWay && m.State == mothferry.MachineUp:
@@ -381,7 +381,7 @@
 		delete(s.operations, c.Machine)
 	case AnswerThrottled:
 		// The next plan repeats the call; the machine stays evacuated meanwhile.
-		if !s.Off[mothferry.FeatureRooms] {
+		if !s.Off[mothferry.FeaturePoolSizes] {
 			op.phase, op.since = phaseEvacuating, now
 		}
 	}
--- a/mfduty/evacuate_test.go
+++ b/mfduty/evacuate_test.go
@@ -67,7 +67,7 @@
 func setDown(f mfduty.Fleet, id mothferry.MachineID) {
 	for i := range f.Machines {
 		if f.Machines[i].Machine == id {
-			f.Machines[i].State, f.Machines[i].Worker = mothferry.MachineUpkeep, ""
+			f.Machines[i].State, f.Machines[i].Worker = mothferry.MachineMaintenance, ""
 		}
 	}
 }
--- a/mfduty/incarnation.go
+++ b/mfduty/incarnation.go
@@ -32,7 +32,7 @@
 // endCause returns why an incarnation has ended, by the present state of its machine.
 func (i incarnation) endCause(m mothferry.Machine) mfsched.IncarnationEndCause {
 	switch {
-	case m.State == mothferry.MachineMoving, m.State == mothferry.MachineUpkeep,
+	case m.State == mothferry.MachineMoving, m.State == mothferry.MachineMaintenance,
 		m.State == mothferry.MachineUp && m.Pool != i.pool:
 		return mfsched.IncarnationEndPlanned
 	default:
@@ -65,7 +65,7 @@
 
 // withoutWorker reports whether machines in a state have no worker.
 func withoutWorker(s mothferry.MachineState) bool {
-	return s == mothferry.MachineDown || s == mothferry.MachineMoving || s == mothferry.MachineUpkeep
+	return s == mothferry.MachineDown || s == mothferry.MachineMoving || s == mothferry.MachineMaintenance
 }
 
 // lost returns the incarnations with tasks that no machine has listed for missingTimeout and
--- a/mfduty/move.go
+++ b/mfduty/move.go
@@ -38,7 +38,7 @@
 	for id, t := range targets {
 		needed[id] = t.Machines
 	}
-	if !s.Off[mothferry.FeatureRooms] {
+	if !s.Off[mothferry.FeaturePoolSizes] {
 		s.divide(f, pools, targets, now)
 	}
 	s.PoolSizes = poolSizes(pools, needed, targets)
@@ -145,7 +145,7 @@
 		}
 		pools[id] = p
 	}
-	if s.Off[mothferry.FeatureRooms] {
+	if s.Off[mothferry.FeaturePoolSizes] {
 		size.Memory = 0
 	}
 	for id, p := range pools {
--- a/mfemulate/fleet.go
+++ b/mfemulate/fleet.go
@@ -49,7 +49,7 @@
 		world: w, machine: m, began: w.now, speed: 1 - 0.02*w.Random.Float64(), pace: 1,
 		running: map[mothferry.TaskName]*run{}, highest: map[mothferry.TaskName]mothferry.RunNumber{},
 		listing: mfsched.Worker{
-			At: mothferry.WorkerAddress{Worker: id, Address: string(id)}, StartedAt: mothferry.LifeStart(w.now.UnixMilli()), Service: m.pool, Rack: m.rack, Capacity: m.has,
+			At: mothferry.WorkerAddress{Worker: id, Address: string(id)}, StartedAt: mothferry.IncarnationStart(w.now.UnixMilli()), Service: m.pool, Rack: m.rack, Capacity: m.has,
 		},
 	}
 	w.workers[id] = k
@@ -177,7 +177,7 @@
 	if c.Kind == mfduty.KindMaintenance {
 		w.Figures.Upkeeps++
 		w.waves[c.Wave].done = append(w.waves[c.Wave].done, m.id)
-		m.state = mothferry.MachineUpkeep
+		m.state = mothferry.MachineMaintenance
 		w.after(upkeepTakes, func() { w.live(m) })
 		return mfduty.AnswerDone
 	}
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -272,7 +272,7 @@
 		k := w.workers[id]
 		w.after(time.Duration(w.Random.Float64()*float64(w.Faults.LateBy)), func() {
 			if k != nil && !k.over && !k.silent {
-				_ = k.look(v.Order, func(mothferry.LookReport) {}, func() {})
+				_ = k.look(v.Order, func(mothferry.PollReport) {}, func() {})
 			}
 		})
 		return
@@ -285,7 +285,7 @@
 		case k.over:
 			end(mfsched.PollFailed{Worker: id, Number: v.Number, Sent: sent, Result: mfsched.ResultIncarnationEnded})
 		default:
-			err := k.look(v.Order, func(r mothferry.LookReport) {
+			err := k.look(v.Order, func(r mothferry.PollReport) {
 				if !lost {
 					w.after(orderDelay, func() { end(mfsched.PollAnswered{Worker: id, Number: v.Number, Sent: sent, Report: r}) })
 				}
--- a/mfemulate/short_test.go
+++ b/mfemulate/short_test.go
@@ -61,7 +61,7 @@
 	}
 	var both sync.WaitGroup
 	both.Go(func() { on = play(nil) })
-	both.Go(func() { off = play(mothferry.FeaturesOff{mothferry.FeatureRooms: true}) })
+	both.Go(func() { off = play(mothferry.FeaturesOff{mothferry.FeaturePoolSizes: true}) })
 	both.Wait()
 	t.Logf("with: worth %.3f, %d moves, %v; without: worth %.3f, %d moves, %v", on.worth, on.moves, on.queues, off.worth, off.moves, off.queues)
 	return on, off
--- a/mfemulate/worker.go
+++ b/mfemulate/worker.go
@@ -60,7 +60,7 @@
 }
 
 type waitingLook struct {
-	answer func(mothferry.LookReport)
+	answer func(mothferry.PollReport)
 	// broken is called if the worker ends before it answers.
 	broken func()
 	done   bool
@@ -82,14 +82,14 @@
 	left := time.Duration(float64(until-o.clock()) / o.speed)
 	o.world.after(left, func() {
 		if o.lease == lease && !o.over {
-			o.endAll(mothferry.EndLapsed)
+			o.endAll(mothferry.EndLeaseExpired)
 		}
 	})
 }
 
 func (o *worker) endAll(cause mothferry.EndCause) {
 	for _, name := range o.names() {
-		if cause == mothferry.EndLapsed && !o.world.faultNear(o) {
+		if cause == mothferry.EndLeaseExpired && !o.world.faultNear(o) {
 			o.world.endByOrder(o, name, "lease that lapsed")
 		}
 		o.end(name, cause)
@@ -148,8 +148,8 @@
 	o.waiting = nil
 }
 
-func (o *worker) report() mothferry.LookReport {
-	report := mothferry.LookReport{Clock: o.clock(), Born: o.listing.StartedAt, Ended: slices.Clone(o.ends)}
+func (o *worker) report() mothferry.PollReport {
+	report := mothferry.PollReport{Clock: o.clock(), StartedAt: o.listing.StartedAt, Ended: slices.Clone(o.ends)}
 	for _, n := range o.names() {
 		r := o.running[n]
 		percent := int(100 * float64(r.done(o.world.now, o.paceOf(r))) / float64(max(1, r.takes)))
@@ -167,13 +167,13 @@
 }
 
 // look carries a look out.
-func (o *worker) look(order mothferry.LookOrder, answer func(mothferry.LookReport), broken func()) error {
+func (o *worker) look(order mothferry.PollOrder, answer func(mothferry.PollReport), broken func()) error {
 	if order.Epoch < o.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
 	}
 	o.epoch = order.Epoch
 	o.extend(order.Until)
-	o.ends = slices.DeleteFunc(o.ends, func(e mothferry.EndedTask) bool { return e.Number <= order.Noted })
+	o.ends = slices.DeleteFunc(o.ends, func(e mothferry.EndedTask) bool { return e.Number <= order.LastEndSeen })
 	l := &waitingLook{answer: answer, broken: broken}
 	if len(o.ends) > 0 || order.Wait == 0 {
 		o.answer(l)
@@ -206,7 +206,7 @@
 	}
 	step := &o.world.jobs[order.Task.Job].submission.Steps[order.Task.Step]
 	if !o.fits(step) {
-		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalRoom}
+		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalCapacity}
 	}
 	o.world.checkStart(o, order)
 	takes := o.world.duration(order.Task, step)
--- a/mfowner/finished_test.go
+++ b/mfowner/finished_test.go
@@ -22,7 +22,7 @@
 	o.Workers, o.Listing, o.Machines = workers, loadListing(2), loadMachines(2)
 	o.Limits.FinishedJobRetention = 8 * time.Second
 	rows.SetBefore(func(txn mothferry.Txn) mfstandin.CommitFault {
-		if txn.Across {
+		if txn.SpansParts {
 			return mfstandin.CommitDeclined
 		}
 		return mfstandin.CommitWell
--- a/mfowner/load_test.go
+++ b/mfowner/load_test.go
@@ -81,11 +81,11 @@
 	return loadClock(), nil
 }
 
-// Look implements mothferry.TaskWorkers.
-func (l *loadWorkers) Look(ctx context.Context, at mothferry.WorkerAddress, o mothferry.LookOrder) (mothferry.LookReport, error) {
+// Poll implements mothferry.TaskWorkers.
+func (l *loadWorkers) Poll(ctx context.Context, at mothferry.WorkerAddress, o mothferry.PollOrder) (mothferry.PollReport, error) {
 	l.mutex.Lock()
 	w := l.worker(at.Worker)
-	for len(w.ends) > 0 && w.ends[0].Number <= o.Noted {
+	for len(w.ends) > 0 && w.ends[0].Number <= o.LastEndSeen {
 		w.ends = w.ends[1:]
 	}
 	if len(w.ends) == 0 && o.Wait > 0 {
@@ -99,7 +99,7 @@
 		l.mutex.Lock()
 	}
 	defer l.mutex.Unlock()
-	report := mothferry.LookReport{Clock: loadClock(), Ended: append([]mothferry.EndedTask(nil), w.ends...)}
+	report := mothferry.PollReport{Clock: loadClock(), Ended: append([]mothferry.EndedTask(nil), w.ends...)}
 	for name, run := range w.running {
 		report.Running = append(report.Running, mothferry.RunningTask{Task: name, Run: run})
 	}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (loadMachines) Upkeep(context.Context, mothferry.MachineID, mothferry.WaveID, mothferry.MachineFence) error {
+func (loadMachines) StartMaintenance(context.Context, mothferry.MachineID, mothferry.WaveID, mothferry.MachineFence) error {
 	return nil
 }
 
--- a/mfowner/machines.go
+++ b/mfowner/machines.go
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	if c.Kind == mfduty.KindMaintenance {
-		err = s.owner.Machines.Upkeep(ctx, c.Machine, c.Wave, fence)
+		err = s.owner.Machines.StartMaintenance(ctx, c.Machine, c.Wave, fence)
 	} else {
 		err = s.owner.Machines.Move(ctx, c.Machine, c.Pool, fence)
 	}
--- a/mfowner/order.go
+++ b/mfowner/order.go
@@ -11,7 +11,7 @@
 // orderResult classifies the error of an order to a worker.
 func orderResult(err error) (mfsched.OrderResult, mothferry.OrderRefusal) {
 	var refused *mothferry.ErrOrderRefused
-	var other *mothferry.ErrOtherLife
+	var other *mothferry.ErrIncarnationEnded
 	switch {
 	case err == nil:
 		return mfsched.ResultDone, ""
@@ -40,7 +40,7 @@
 
 func (s *session) poll(c mfsched.Poll) {
 	sent := s.owner.Clock.Now()
-	report, err := s.owner.Workers.Look(s.ctx, c.At, c.Order)
+	report, err := s.owner.Workers.Poll(s.ctx, c.At, c.Order)
 	if err != nil {
 		r, _ := orderResult(err)
 		s.post(mfsched.PollFailed{Worker: c.At.Worker, Number: c.Number, Sent: sent, Result: r})
@@ -80,7 +80,7 @@
 	for _, id := range c.Jobs {
 		rows = append(rows, mothferry.Write{Table: mfrecord.TableInbox, Part: mfrecord.InboxPart(id), Key: mfrecord.JobKey(id), Delete: true})
 	}
-	if _, err := s.owner.Store.Commit(s.ctx, mothferry.Txn{Writes: rows, Across: true}); err != nil {
+	if _, err := s.owner.Store.Commit(s.ctx, mothferry.Txn{Writes: rows, SpansParts: true}); err != nil {
 		s.owner.Log.WithError(err).WithField("jobs", len(c.Jobs)).Warn("failed to delete submissions of finished jobs")
 		return
 	}
@@ -96,7 +96,7 @@
 			mothferry.Write{Table: mfrecord.TableInbox, Part: mfrecord.InboxPart(id), Key: mfrecord.JobKey(id), Delete: true},
 			mothferry.Write{Table: mfrecord.TableInbox, Part: mfrecord.InboxPart(id), Key: mfrecord.CancelKey(id), Delete: true})
 	}
-	if _, err := s.owner.Store.Commit(s.ctx, mothferry.Txn{Writes: inbox, Across: true}); err != nil {
+	if _, err := s.owner.Store.Commit(s.ctx, mothferry.Txn{Writes: inbox, SpansParts: true}); err != nil {
 		s.owner.Log.WithError(err).WithField("jobs", len(c.Jobs)).Warn("failed to delete finished jobs")
 		s.post(mfsched.DeleteJobsAnswered{Jobs: c.Jobs})
 		return
--- a/mfrelay/link.go
+++ b/mfrelay/link.go
@@ -268,12 +268,12 @@
 }
 
 // ask has the relay carry out an order and waits for its answer.
-func (l *link) ask(ctx context.Context, order *mfwire.Order, within time.Duration) (mothferry.LookReport, error) {
+func (l *link) ask(ctx context.Context, order *mfwire.Order, within time.Duration) (mothferry.PollReport, error) {
 	w := waiting{worker: mothferry.WorkerID(order.GetWorker()), answered: make(chan answer, 1), until: l.clock.Now().Add(within)}
 	l.mutex.Lock()
 	if l.ended != nil {
 		l.mutex.Unlock()
-		return mothferry.LookReport{}, &errLinkLost{relay: l.host.Daemon}
+		return mothferry.PollReport{}, &errLinkLost{relay: l.host.Daemon}
 	}
 	l.number++
 	order.Number = l.number
@@ -291,6 +291,6 @@
 		l.mutex.Lock()
 		delete(l.pending, order.Number)
 		l.mutex.Unlock()
-		return mothferry.LookReport{}, &mothferry.ErrUnavailable{Operation: "order over " + string(l.host.Daemon), Err: ctx.Err()}
+		return mothferry.PollReport{}, &mothferry.ErrUnavailable{Operation: "order over " + string(l.host.Daemon), Err: ctx.Err()}
 	}
 }
--- a/mfrelay/message.go
+++ b/mfrelay/message.go
@@ -11,7 +11,7 @@
 // answer is how an order ended at its worker.
 type answer struct {
 	// report is a look's; of other orders it has the worker's clock alone.
-	report mothferry.LookReport
+	report mothferry.PollReport
 	err    error
 }
 
@@ -29,9 +29,9 @@
 	return &mfwire.Order{Worker: string(at.Worker), Address: at.Address, Epoch: uint64(epoch), Kind: &mfwire.Order_Pace{Pace: &mfwire.Pace{Task: taskTo(task), Run: int64(run), Percent: int64(percent)}}}
 }
 
-func lookOrder(at mothferry.WorkerAddress, o mothferry.LookOrder) *mfwire.Order {
+func lookOrder(at mothferry.WorkerAddress, o mothferry.PollOrder) *mfwire.Order {
 	return &mfwire.Order{Worker: string(at.Worker), Address: at.Address, Epoch: uint64(o.Epoch), Kind: &mfwire.Order_Look{Look: &mfwire.Look{
-		UntilNs: int64(o.Until), Noted: int64(o.Noted), WaitNs: int64(o.Wait),
+		UntilNs: int64(o.Until), Noted: int64(o.LastEndSeen), WaitNs: int64(o.Wait),
 	}}}
 }
 
@@ -46,10 +46,10 @@
 	}
 }
 
-func lookOf(o *mfwire.Order, l *mfwire.Look) mothferry.LookOrder {
-	return mothferry.LookOrder{
+func lookOf(o *mfwire.Order, l *mfwire.Look) mothferry.PollOrder {
+	return mothferry.PollOrder{
 		Epoch: mothferry.Epoch(o.GetEpoch()), Until: mothferry.WorkerClock(l.GetUntilNs()),
-		Noted: mothferry.EndNumber(l.GetNoted()), Wait: time.Duration(l.GetWaitNs()),
+		LastEndSeen: mothferry.EndNumber(l.GetNoted()), Wait: time.Duration(l.GetWaitNs()),
 	}
 }
 
@@ -65,7 +65,7 @@
 func outcomeOf(number uint64, clock mothferry.WorkerClock, err error) *mfwire.Outcome {
 	o := &mfwire.Outcome{Number: number, ClockNs: int64(clock)}
 	var refused *mothferry.ErrOrderRefused
-	var other *mothferry.ErrOtherLife
+	var other *mothferry.ErrIncarnationEnded
 	switch {
 	case err == nil:
 		o.Ending = mfwire.Ending_ENDING_DONE
@@ -86,17 +86,17 @@
 	case mfwire.Ending_ENDING_REFUSED:
 		return answer{err: &mothferry.ErrOrderRefused{Refusal: mothferry.OrderRefusal(o.GetRefusal()), Clock: clock}}
 	case mfwire.Ending_ENDING_OTHER_LIFE:
-		return answer{err: &mothferry.ErrOtherLife{Worker: worker}}
+		return answer{err: &mothferry.ErrIncarnationEnded{Worker: worker}}
 	default:
 		return answer{err: &mothferry.ErrUnavailable{Operation: "order of a relay"}}
 	}
 }
 
-func reportTo(r mothferry.LookReport) *mfwire.Report {
-	out := &mfwire.Report{BornMs: int64(r.Born)}
+func reportTo(r mothferry.PollReport) *mfwire.Report {
+	out := &mfwire.Report{BornMs: int64(r.StartedAt)}
 	for _, t := range r.Running {
 		out.Running = append(out.Running, &mfwire.Running{
-			Task: taskTo(t.Task), Run: int64(t.Run), Checkpoint: string(t.Checkpoint), Percent: int64(t.Percent), TailNs: int64(t.Tail),
+			Task: taskTo(t.Task), Run: int64(t.Run), Checkpoint: string(t.Checkpoint), Percent: int64(t.Percent), TailNs: int64(t.TailLatency),
 		})
 	}
 	for _, e := range r.Ended {
@@ -107,12 +107,12 @@
 	return out
 }
 
-func reportFrom(clock mothferry.WorkerClock, r *mfwire.Report) mothferry.LookReport {
-	out := mothferry.LookReport{Clock: clock, Born: mothferry.LifeStart(r.GetBornMs())}
+func reportFrom(clock mothferry.WorkerClock, r *mfwire.Report) mothferry.PollReport {
+	out := mothferry.PollReport{Clock: clock, StartedAt: mothferry.IncarnationStart(r.GetBornMs())}
 	for _, t := range r.GetRunning() {
 		out.Running = append(out.Running, mothferry.RunningTask{
 			Task: taskFrom(t.GetTask()), Run: mothferry.RunNumber(t.GetRun()), Checkpoint: mothferry.Checkpoint(t.GetCheckpoint()),
-			Percent: int(t.GetPercent()), Tail: time.Duration(t.GetTailNs()),
+			Percent: int(t.GetPercent()), TailLatency: time.Duration(t.GetTailNs()),
 		})
 	}
 	for _, e := range r.GetEnded() {
--- a/mfrelay/relay.go
+++ b/mfrelay/relay.go
@@ -243,14 +243,14 @@
 	return reply.Clock, err
 }
 
-// Look implements mothferry.TaskWorkers. A look whose relay was lost is made again
+// Poll implements mothferry.TaskWorkers. A look whose relay was lost is made again
 // over another one: looking twice does no harm, and the worker may be well. Taken as
 // silent it would get no work for a third of a second, and 80 workers with it.
-func (r *Relay) Look(ctx context.Context, at mothferry.WorkerAddress, o mothferry.LookOrder) (mothferry.LookReport, error) {
+func (r *Relay) Poll(ctx context.Context, at mothferry.WorkerAddress, o mothferry.PollOrder) (mothferry.PollReport, error) {
 	for {
 		l := r.pass(at)
 		if l == nil {
-			return r.Direct.Look(ctx, at, o)
+			return r.Direct.Poll(ctx, at, o)
 		}
 		reply, err := l.ask(ctx, lookOrder(at, o), r.OrderTimeout+o.Wait+overdue)
 		var gone *errLinkLost
--- a/mfrelay/relay_test.go
+++ b/mfrelay/relay_test.go
@@ -31,16 +31,16 @@
 type workers struct {
 	mutex sync.Mutex
 	calls int
-	reply func() (mothferry.LookReport, error)
+	reply func() (mothferry.PollReport, error)
 }
 
-func (w *workers) answer() (mothferry.LookReport, error) {
+func (w *workers) answer() (mothferry.PollReport, error) {
 	w.mutex.Lock()
 	w.calls++
 	reply := w.reply
 	w.mutex.Unlock()
 	if reply == nil {
-		return mothferry.LookReport{Clock: 7}, nil
+		return mothferry.PollReport{Clock: 7}, nil
 	}
 	return reply()
 }
@@ -61,7 +61,7 @@
 	return r.Clock, err
 }
 
-func (w *workers) Look(context.Context, mothferry.WorkerAddress, mothferry.LookOrder) (mothferry.LookReport, error) {
+func (w *workers) Poll(context.Context, mothferry.WorkerAddress, mothferry.PollOrder) (mothferry.PollReport, error) {
 	return w.answer()
 }
 
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for i := range 200 {
-		_, err := f.relay.Look(ctx, worker(i), mothferry.LookOrder{})
+		_, err := f.relay.Poll(ctx, worker(i), mothferry.PollOrder{})
 		assert.NilError(t, err)
 	}
 	go func() { _ = f.relay.Run(ctx) }()
@@ -130,7 +130,7 @@
 }
 
 func (f *fleet) look(i int) error {
-	_, err := f.relay.Look(context.Background(), worker(i), mothferry.LookOrder{Wait: 10 * time.Millisecond})
+	_, err := f.relay.Poll(context.Background(), worker(i), mothferry.PollOrder{Wait: 10 * time.Millisecond})
 	return err
 }
 
@@ -155,40 +155,40 @@
 	eventually(t, "all orders are relayed", f.relayedAll)
 
 	task := mothferry.TaskName{Job: "j", Occurrence: 1, Step: 2, Index: 3}
-	report := mothferry.LookReport{
-		Clock:   mothferry.WorkerClock(3 * time.Second),
-		Born:    1_700_000_000_000,
-		Running: []mothferry.RunningTask{{Task: task, Run: 4, Checkpoint: "c", Percent: 50, Tail: time.Millisecond}},
-		Ended:   []mothferry.EndedTask{{Number: 9, Task: task, Run: 3, Cause: mothferry.EndFailed, Checkpoint: "d"}},
+	report := mothferry.PollReport{
+		Clock:     mothferry.WorkerClock(3 * time.Second),
+		StartedAt: 1_700_000_000_000,
+		Running:   []mothferry.RunningTask{{Task: task, Run: 4, Checkpoint: "c", Percent: 50, TailLatency: time.Millisecond}},
+		Ended:     []mothferry.EndedTask{{Number: 9, Task: task, Run: 3, Cause: mothferry.EndFailed, Checkpoint: "d"}},
 	}
-	set := func(r mothferry.LookReport, err error) {
+	set := func(r mothferry.PollReport, err error) {
 		far.mutex.Lock()
 		defer far.mutex.Unlock()
-		far.reply = func() (mothferry.LookReport, error) { return r, err }
+		far.reply = func() (mothferry.PollReport, error) { return r, err }
 	}
 	ctx := context.Background()
 	set(report, nil)
-	got, err := f.relay.Look(ctx, worker(1), mothferry.LookOrder{})
+	got, err := f.relay.Poll(ctx, worker(1), mothferry.PollOrder{})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, report)
 	clock, err := f.relay.Start(ctx, worker(1), mothferry.StartOrder{Task: task, Run: 4})
 	assert.NilError(t, err)
 	assert.Equal(t, clock, report.Clock)
 
-	set(mothferry.LookReport{}, &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalRoom, Clock: 5})
+	set(mothferry.PollReport{}, &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalCapacity, Clock: 5})
 	_, err = f.relay.Start(ctx, worker(1), mothferry.StartOrder{Task: task, Run: 5})
 	var refused *mothferry.ErrOrderRefused
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
-	assert.Equal(t, refused.Refusal, mothferry.RefusalRoom)
+	assert.Equal(t, refused.Refusal, mothferry.RefusalCapacity)
 	assert.Equal(t, refused.Clock, mothferry.WorkerClock(5))
 
-	set(mothferry.LookReport{}, &mothferry.ErrOtherLife{Worker: "w-001"})
+	set(mothferry.PollReport{}, &mothferry.ErrIncarnationEnded{Worker: "w-001"})
 	_, err = f.relay.Stop(ctx, worker(1), task, 5, 1)
-	var other *mothferry.ErrOtherLife
+	var other *mothferry.ErrIncarnationEnded
 	assert.Assert(t, errors.As(err, &other), "%v", err)
 	assert.Equal(t, other.Worker, mothferry.WorkerID("w-001"))
 
-	set(mothferry.LookReport{}, &mothferry.ErrUnavailable{Operation: "pace", Err: io.EOF})
+	set(mothferry.PollReport{}, &mothferry.ErrUnavailable{Operation: "pace", Err: io.EOF})
 	_, err = f.relay.Pace(ctx, worker(1), task, 5, 50, 1)
 	var unavailable *mothferry.ErrUnavailable
 	assert.Assert(t, errors.As(err, &unavailable), "%v", err)
@@ -202,9 +202,9 @@
 	f := newFleet()
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	held := &workers{reply: func() (mothferry.LookReport, error) {
+	held := &workers{reply: func() (mothferry.PollReport, error) {
 		<-release
-		return mothferry.LookReport{}, nil
+		return mothferry.PollReport{}, nil
 	}}
 	_, kill := f.addHost(t, "r-1", held)
 	f.begin(t)
--- a/mfrelay/server.go
+++ b/mfrelay/server.go
@@ -176,8 +176,8 @@
 	case *mfwire.Order_Pace:
 		clock, err = workers.Pace(ctx, at, taskFrom(k.Pace.GetTask()), mothferry.RunNumber(k.Pace.GetRun()), int(k.Pace.GetPercent()), epoch)
 	case *mfwire.Order_Look:
-		var seen mothferry.LookReport
-		seen, err = workers.Look(ctx, at, lookOf(o, k.Look))
+		var seen mothferry.PollReport
+		seen, err = workers.Poll(ctx, at, lookOf(o, k.Look))
 		clock, report = seen.Clock, reportTo(seen)
 	}
 	outcome := outcomeOf(o.GetNumber(), clock, err)
--- a/mfsched/account_test.go
+++ b/mfsched/account_test.go
@@ -34,7 +34,7 @@
 func (s *script) addReadyWorker(id mothferry.WorkerID) {
 	s.listWorker(id)
 	s.advance(10 * time.Millisecond)
-	s.answerPoll(id, mothferry.LookReport{})
+	s.answerPoll(id, mothferry.PollReport{})
 }
 
 // Guards against runs that aren't counted, so that an account exceeds its limit: of ten tasks of
@@ -54,7 +54,7 @@
 	s.submit("k", 2)
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 2, "a job without an account")
-	s.answerPoll("w", mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: first[0].Order.Task, Run: 1, Cause: mothferry.EndDone}}, Running: runningOf(first[1:])})
+	s.answerPoll("w", mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: 1, Task: first[0].Order.Task, Run: 1, Cause: mothferry.EndDone}}, Running: runningOf(first[1:])})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
@@ -92,10 +92,10 @@
 		}
 		return out
 	}
-	s.answerPoll("w", mothferry.LookReport{Ended: ends(0, 7), Running: runningOf(first[7:])})
+	s.answerPoll("w", mothferry.PollReport{Ended: ends(0, 7), Running: runningOf(first[7:])})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core still runs, the limit is half a core")
-	s.answerPoll("w", mothferry.LookReport{Ended: ends(7, 8)})
+	s.answerPoll("w", mothferry.PollReport{Ended: ends(7, 8)})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1, "one task that exceeds the limit, alone")
 }
@@ -114,10 +114,10 @@
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
 	orphan := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j", Index: 2}, Run: 7, Percent: 10}
-	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{orphan}})
+	s.answerPoll("w", mothferry.PollReport{Running: []mothferry.RunningTask{orphan}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "one core may run on an unresponsive worker, one is still ending")
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
@@ -152,7 +152,7 @@
 	s.addReadyWorker("w-2")
 	running := runningOf(first)
 	running[0].Percent, running[1].Percent = 100, 100
-	s.answerPoll("w-1", mothferry.LookReport{Running: running})
+	s.answerPoll("w-1", mothferry.PollReport{Running: running})
 	s.setLimit(1500)
 	s.step(mfsched.WorkersToEvacuate{Workers: map[mothferry.WorkerID]bool{"w-1": true}})
 	s.advance(300 * time.Millisecond)
--- a/mfsched/adopt_test.go
+++ b/mfsched/adopt_test.go
@@ -22,8 +22,8 @@
 	}}
 }
 
-func oneRun(index int, run mothferry.RunNumber) mothferry.LookReport {
-	return mothferry.LookReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j", Index: index}, Run: run, Percent: 100}}}
+func oneRun(index int, run mothferry.RunNumber) mothferry.PollReport {
+	return mothferry.PollReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j", Index: index}, Run: run, Percent: 100}}}
 }
 
 // storedTask returns what the pending commit stores of a task, and answers the commit.
@@ -57,7 +57,7 @@
 				s.listWorker("w-1")
 				s.listWorker("w-2")
 				s.advance(10 * time.Millisecond)
-				reports := map[mothferry.WorkerID]mothferry.LookReport{"w-1": {}, "w-2": oneRun(0, 2)}
+				reports := map[mothferry.WorkerID]mothferry.PollReport{"w-1": {}, "w-2": oneRun(0, 2)}
 				for _, id := range order {
 					s.answerPoll(id, reports[id])
 				}
@@ -81,7 +81,7 @@
 		s.listWorker("w-1")
 		s.listWorker("w-2")
 		s.advance(10 * time.Millisecond)
-		s.answerPoll("w-1", mothferry.LookReport{})
+		s.answerPoll("w-1", mothferry.PollReport{})
 		s.now = s.now.Add(30 * time.Millisecond)
 		s.step(mfsched.Tick{})
 		commits := takeCommands[mfsched.Commit](s)
@@ -127,13 +127,13 @@
 
 	later := inherit(mfjob.TaskProgress{Run: 1, Worker: "w-1"})
 	later.answerPoll("w-1", oneRun(0, 1))
-	later.answerPoll("w-2", mothferry.LookReport{})
+	later.answerPoll("w-2", mothferry.PollReport{})
 	later.advance(50 * time.Millisecond)
 	later.answerPoll("w-2", oneRun(0, 2))
 	assert.DeepEqual(t, stopped(later), expected(2))
 
 	ordered := inherit(mfjob.TaskProgress{Run: 1, Worker: "w-1"})
-	ordered.answerPoll("w-1", mothferry.LookReport{})
+	ordered.answerPoll("w-1", mothferry.PollReport{})
 	ordered.advance(60 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](ordered)), 1)
 	ordered.answerPoll("w-2", oneRun(0, 3))
@@ -214,7 +214,7 @@
 						s.out = append(s.out, p)
 					}
 				}
-				report := mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
+				report := mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
 				for i := range tasks {
 					if at[i] < workers && id(at[i]) == polls[n].At.Worker {
 						report.Running = append(report.Running, oneRun(i, run[i]).Running...)
--- a/mfsched/capacity_test.go
+++ b/mfsched/capacity_test.go
@@ -24,10 +24,10 @@
 	s.advance(10 * time.Millisecond)
 	// A run that a previous owner started has a number that this owner doesn't know.
 	orphan := mothferry.RunningTask{Task: mothferry.TaskName{Job: "j"}, Run: 7, Percent: 10}
-	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{orphan}})
+	s.answerPoll("w", mothferry.PollReport{Running: []mothferry.RunningTask{orphan}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "10 of 16 cores are reserved for a run that is still there")
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
@@ -38,7 +38,7 @@
 	s, name := runningOn(t, "w-1")
 	s.listWorker("w-2")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-2", mothferry.LookReport{})
+	s.answerPoll("w-2", mothferry.PollReport{})
 	// The first worker is unresponsive until its leases have expired; the task starts again.
 	var again []mfsched.Start
 	for len(again) == 0 {
@@ -48,13 +48,13 @@
 				s.step(mfsched.PollFailed{Worker: "w-1", Number: l.Number, Sent: s.now, Result: mfsched.ResultUnknown})
 				continue
 			}
-			s.step(mfsched.PollAnswered{Worker: "w-2", Number: l.Number, Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
+			s.step(mfsched.PollAnswered{Worker: "w-2", Number: l.Number, Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
 		}
 		again = takeCommands[mfsched.Start](s)
 	}
 	s.answerStart(again[0], mfsched.ResultDone, "")
 	// Then it reports that the task was completed before that.
-	s.step(mfsched.PollAnswered{Worker: "w-1", Sent: s.now, Report: mothferry.LookReport{
+	s.step(mfsched.PollAnswered{Worker: "w-1", Sent: s.now, Report: mothferry.PollReport{
 		Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 		Ended: []mothferry.EndedTask{{Number: 1, Task: name, Run: 1, Cause: mothferry.EndDone}},
 	}})
@@ -64,7 +64,7 @@
 	s.step(mfsched.JobFound{Job: "k", Submission: job})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "a run of one core may still be there")
-	s.step(mfsched.PollAnswered{Worker: "w-2", Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
+	s.step(mfsched.PollAnswered{Worker: "w-2", Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
@@ -79,7 +79,7 @@
 	s.submit("k", 1)
 	s.advance(200 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
-	s.answerPoll("w", mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: name, Run: 1, Cause: mothferry.EndDone}}})
+	s.answerPoll("w", mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: 1, Task: name, Run: 1, Cause: mothferry.EndDone}}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
--- a/mfsched/crash_test.go
+++ b/mfsched/crash_test.go
@@ -23,7 +23,7 @@
 		id := mothferry.WorkerID("w-" + string(rune('a'+n)))
 		s.listWorker(id)
 		s.advance(10 * time.Millisecond)
-		s.answerPoll(id, mothferry.LookReport{})
+		s.answerPoll(id, mothferry.PollReport{})
 		for range 30 {
 			s.now = s.now.Add(10 * time.Millisecond)
 			s.step(mfsched.Tick{})
@@ -50,7 +50,7 @@
 	s.step(mfsched.IncarnationEnded{Worker: id, Cause: mfsched.IncarnationCrashed})
 	s.listWorker(next)
 	s.advance(10 * time.Millisecond)
-	s.answerPoll(next, mothferry.LookReport{})
+	s.answerPoll(next, mothferry.PollReport{})
 }
 
 // acceptStarts lets time pass and accepts the starts that are ordered.
@@ -69,7 +69,7 @@
 // reportRunning answers the poll of a worker with the given runs.
 func (s *script) reportRunning(id mothferry.WorkerID, percent int, starts ...mfsched.Start) {
 	s.t.Helper()
-	var r mothferry.LookReport
+	var r mothferry.PollReport
 	for _, o := range starts {
 		r.Running = append(r.Running, mothferry.RunningTask{Task: o.Order.Task, Run: o.Order.Run, Percent: percent})
 	}
@@ -94,7 +94,7 @@
 	s := newScript(t)
 	s.listWorker("w-0")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-0", mothferry.LookReport{})
+	s.answerPoll("w-0", mothferry.PollReport{})
 	s.submit("j", 4)
 	for crashes, next := range []mothferry.WorkerID{"w-1", "w-2", "w-3"} {
 		starts := s.acceptStarts(300 * time.Millisecond)
@@ -116,7 +116,7 @@
 	s := newScript(t)
 	s.listWorker("w-0")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-0", mothferry.LookReport{})
+	s.answerPoll("w-0", mothferry.PollReport{})
 	s.submit("j", 1)
 	s.submit("k", 1)
 	assert.Equal(t, len(s.acceptStarts(60*time.Millisecond)), 2)
@@ -147,7 +147,7 @@
 	for _, id := range full {
 		s.listWorker(id)
 		s.advance(10 * time.Millisecond)
-		s.answerPoll(id, mothferry.LookReport{})
+		s.answerPoll(id, mothferry.PollReport{})
 		s.submit(jobID("on-"+string(id)), 16)
 		others[id] = s.acceptStarts(300 * time.Millisecond)
 		assert.Equal(t, len(others[id]), 16)
@@ -155,7 +155,7 @@
 	}
 	s.listWorker("w-1")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-1", mothferry.LookReport{})
+	s.answerPoll("w-1", mothferry.PollReport{})
 	s.submit("j", 1)
 	suspects := s.acceptStarts(60 * time.Millisecond)
 	assert.Equal(t, len(suspects), 1)
@@ -189,7 +189,7 @@
 	}
 	s.advance(100 * time.Millisecond)
 	for id, starts := range others {
-		var report mothferry.LookReport
+		var report mothferry.PollReport
 		for i, o := range starts {
 			report.Ended = append(report.Ended, mothferry.EndedTask{Number: mothferry.EndNumber(i + 1), Task: o.Order.Task, Run: o.Order.Run, Cause: mothferry.EndDone})
 		}
@@ -221,7 +221,7 @@
 		id := mothferry.WorkerID("w-" + string(rune('a'+n)))
 		s.listWorker(id)
 		s.advance(10 * time.Millisecond)
-		s.answerPoll(id, mothferry.LookReport{})
+		s.answerPoll(id, mothferry.PollReport{})
 		assert.Equal(t, len(s.acceptStarts(60*time.Millisecond)), 1)
 		s.step(mfsched.IncarnationEnded{Worker: id, Cause: mfsched.IncarnationEndPlanned})
 	}
@@ -237,7 +237,7 @@
 	s.step(mfsched.JobFound{Job: "j", Submission: job})
 	s.listWorker("w-0")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-0", mothferry.LookReport{})
+	s.answerPoll("w-0", mothferry.PollReport{})
 	for n := range 8 {
 		id, next := mothferry.WorkerID("w-"+string(rune('0'+n))), mothferry.WorkerID("w-"+string(rune('1'+n)))
 		starts := s.acceptStarts(2500 * time.Millisecond)
@@ -258,7 +258,7 @@
 		id := mothferry.WorkerID("w-" + string(rune('a'+n)))
 		s.listWorker(id)
 		s.advance(10 * time.Millisecond)
-		s.answerPoll(id, mothferry.LookReport{})
+		s.answerPoll(id, mothferry.PollReport{})
 		for _, o := range s.acceptStarts(60 * time.Millisecond) {
 			starts[o.Order.Run] = true
 		}
@@ -283,7 +283,7 @@
 	s.step(found)
 	s.listWorker("w-0")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-0", mothferry.LookReport{})
+	s.answerPoll("w-0", mothferry.PollReport{})
 	assert.Equal(t, len(s.acceptStarts(60*time.Millisecond)), 1)
 	s.crash("w-0", "w-1")
 	assert.DeepEqual(t, s.finishedJobs(mfjob.StateFailed), []mothferry.JobID{"j"})
@@ -338,7 +338,7 @@
 	})
 	assert.Equal(t, stored, mfjob.Crashes{Unseen: 1})
 	answerPolls(func(p mfsched.Poll) mfsched.Event {
-		return mfsched.PollAnswered{Worker: "w", Number: p.Number, Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(2 * time.Hour)}}
+		return mfsched.PollAnswered{Worker: "w", Number: p.Number, Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(2 * time.Hour)}}
 	})
 	assert.Equal(t, stored, mfjob.Crashes{})
 }
@@ -351,10 +351,10 @@
 	s := newScript(t)
 	s.listWorker("w-keep")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-keep", mothferry.LookReport{})
+	s.answerPoll("w-keep", mothferry.PollReport{})
 	s.listWorker("w-0")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-0", mothferry.LookReport{})
+	s.answerPoll("w-0", mothferry.PollReport{})
 	job := submission(s.now, 2)
 	job.Steps[0].Lasting, job.Steps[0].PerWorker, job.Steps[0].MayMiss = true, 1, 1
 	s.step(mfsched.JobFound{Job: "j", Submission: job})
@@ -397,7 +397,7 @@
 		s.step(mfsched.Tick{})
 		s.storeCommits()
 		for _, p := range takeCommands[mfsched.Poll](s) {
-			s.step(mfsched.PollAnswered{Worker: p.At.Worker, Number: p.Number, Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
+			s.step(mfsched.PollAnswered{Worker: p.At.Worker, Number: p.Number, Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}})
 		}
 		for _, o := range takeCommands[mfsched.Start](s) {
 			at = append(at, s.now)
--- a/mfsched/evacuate_test.go
+++ b/mfsched/evacuate_test.go
@@ -17,7 +17,7 @@
 	s := newScript(t)
 	s.listWorker("w-1")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-1", mothferry.LookReport{})
+	s.answerPoll("w-1", mothferry.PollReport{})
 	job := submission(s.now, 1)
 	job.Steps[0].Lasting = true
 	s.step(mfsched.JobFound{Job: "j", Submission: job})
@@ -25,7 +25,7 @@
 	name := takeCommands[mfsched.Start](s)[0].Order.Task
 	s.step(mfsched.StartAnswered{Worker: "w-1", Task: name, Run: 1, Result: mfsched.ResultDone})
 	s.advance(50 * time.Millisecond)
-	s.answerPoll("w-1", mothferry.LookReport{Running: []mothferry.RunningTask{{Task: name, Run: 1, Percent: 100}}})
+	s.answerPoll("w-1", mothferry.PollReport{Running: []mothferry.RunningTask{{Task: name, Run: 1, Percent: 100}}})
 
 	s.step(mfsched.WorkersToEvacuate{Workers: map[mothferry.WorkerID]bool{"w-1": true}})
 	s.advance(time.Second)
@@ -33,7 +33,7 @@
 
 	s.listWorker("w-2")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-2", mothferry.LookReport{})
+	s.answerPoll("w-2", mothferry.PollReport{})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Stop](s)), 1)
 }
@@ -46,7 +46,7 @@
 	for _, id := range []mothferry.WorkerID{"w-1", "w-2"} {
 		s.listWorker(id)
 		s.advance(10 * time.Millisecond)
-		s.answerPoll(id, mothferry.LookReport{})
+		s.answerPoll(id, mothferry.PollReport{})
 	}
 	s.step(mfsched.WorkersToEvacuate{MaintenanceDue: map[mothferry.WorkerID]bool{"w-1": true}})
 	job := submission(s.now, 3)
--- a/mfsched/event.go
+++ b/mfsched/event.go
@@ -69,7 +69,7 @@
 type Worker struct {
 	At mothferry.WorkerAddress
 	// StartedAt is when the incarnation started.
-	StartedAt mothferry.LifeStart
+	StartedAt mothferry.IncarnationStart
 	Service   mothferry.ServiceID
 	Rack      mothferry.RackID
 	Labels    []string
@@ -93,7 +93,7 @@
 	// Number is that of the Poll command, Sent is when it was sent.
 	Number int
 	Sent   time.Time
-	Report mothferry.LookReport
+	Report mothferry.PollReport
 }
 
 // PollFailed reports that a poll had no answer or was refused.
@@ -248,7 +248,7 @@
 	At mothferry.WorkerAddress
 	// Number identifies the poll.
 	Number int
-	Order  mothferry.LookOrder
+	Order  mothferry.PollOrder
 }
 
 // Pace asks to throttle a run, or to restore its full speed.
--- a/mfsched/harness_test.go
+++ b/mfsched/harness_test.go
@@ -94,7 +94,7 @@
 }
 
 // answerPoll answers the pending polls of a worker.
-func (s *script) answerPoll(id mothferry.WorkerID, report mothferry.LookReport) {
+func (s *script) answerPoll(id mothferry.WorkerID, report mothferry.PollReport) {
 	s.t.Helper()
 	var sent bool
 	for _, l := range takeCommands[mfsched.Poll](s) {
@@ -131,7 +131,7 @@
 	s := newScript(t)
 	s.listWorker(id)
 	s.advance(10 * time.Millisecond)
-	s.answerPoll(id, mothferry.LookReport{})
+	s.answerPoll(id, mothferry.PollReport{})
 	s.submit("j", 1)
 	s.advance(50 * time.Millisecond)
 	starts := takeCommands[mfsched.Start](s)
--- a/mfsched/incarnation.go
+++ b/mfsched/incarnation.go
@@ -15,12 +15,12 @@
 
 // newestStartedAt returns when the newest incarnation of a worker started that is known by its
 // entry or by an answer.
-func (w *worker) newestStartedAt() mothferry.LifeStart { return max(w.startedAt, w.StartedAt) }
+func (w *worker) newestStartedAt() mothferry.IncarnationStart { return max(w.startedAt, w.StartedAt) }
 
 // acceptListing reports whether a worker's entry is of the newest known incarnation, or of a
 // newer one. A newer one is polled at once: only its answer shows what it runs, since orders
 // meant for the previous incarnation may have reached it already.
-func (w *worker) acceptListing(startedAt mothferry.LifeStart, now time.Time, l Limits) bool {
+func (w *worker) acceptListing(startedAt mothferry.IncarnationStart, now time.Time, l Limits) bool {
 	if startedAt == 0 || w.newestStartedAt() == 0 || startedAt == w.newestStartedAt() {
 		return true
 	}
@@ -58,25 +58,25 @@
 // Without it a worker that restarts under its id would be taken for its previous incarnation:
 // its tasks would count as running though they are gone, and its ends, which are numbered from
 // the start, would be ignored.
-func (s *State) acceptIncarnation(w *worker, report mothferry.LookReport, now time.Time) bool {
-	if report.Born == 0 {
+func (s *State) acceptIncarnation(w *worker, report mothferry.PollReport, now time.Time) bool {
+	if report.StartedAt == 0 {
 		return true
 	}
-	if report.Born < w.newestStartedAt() {
+	if report.StartedAt < w.newestStartedAt() {
 		return false
 	}
-	if w.startedAt != 0 && report.Born != w.startedAt {
+	if w.startedAt != 0 && report.StartedAt != w.startedAt {
 		s.workerRestarted(w, report, now)
 	}
-	w.startedAt = report.Born
+	w.startedAt = report.StartedAt
 	return true
 }
 
 // workerRestarted handles a worker that has restarted under its id: what ran there has ended
 // with the previous incarnation, except for what the new one reports.
-func (s *State) workerRestarted(w *worker, report mothferry.LookReport, now time.Time) {
+func (s *State) workerRestarted(w *worker, report mothferry.PollReport, now time.Time) {
 	s.emit(Decision{Message: "worker has started again under its id", Worker: w.at.Worker, Fields: map[string]any{
-		"born": report.Born, "former": w.startedAt, "tasks": len(w.tasks), "running": len(report.Running), "newest": w.newestRuns(),
+		"born": report.StartedAt, "former": w.startedAt, "tasks": len(w.tasks), "running": len(report.Running), "newest": w.newestRuns(),
 	}})
 	reported := map[runID]bool{}
 	for _, r := range report.Running {
--- a/mfsched/incarnation_test.go
+++ b/mfsched/incarnation_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	firstIncarnation  mothferry.LifeStart = 1_700_000_000_000
-	secondIncarnation mothferry.LifeStart = 1_700_000_003_000
+	firstIncarnation  mothferry.IncarnationStart = 1_700_000_000_000
+	secondIncarnation mothferry.IncarnationStart = 1_700_000_003_000
 )
 
 // listIncarnation lists an incarnation of a worker.
-func (s *script) listIncarnation(id mothferry.WorkerID, startedAt mothferry.LifeStart) {
+func (s *script) listIncarnation(id mothferry.WorkerID, startedAt mothferry.IncarnationStart) {
 	w := worker(id)
 	w.StartedAt = startedAt
 	s.step(mfsched.WorkerListed{Worker: w})
@@ -25,9 +25,9 @@
 
 // answerAs answers the newest poll of a worker as one of its incarnations, whose clocks
 // restart.
-func (s *script) answerAs(id mothferry.WorkerID, startedAt mothferry.LifeStart, report mothferry.LookReport) {
+func (s *script) answerAs(id mothferry.WorkerID, startedAt mothferry.IncarnationStart, report mothferry.PollReport) {
 	s.t.Helper()
-	report.Born = startedAt
+	report.StartedAt = startedAt
 	report.Clock = mothferry.WorkerClock(s.now.Sub(startTime))
 	if startedAt == firstIncarnation {
 		report.Clock += mothferry.WorkerClock(time.Hour)
@@ -51,7 +51,7 @@
 	s := newScript(t)
 	s.listIncarnation("w", firstIncarnation)
 	s.advance(10 * time.Millisecond)
-	s.answerAs("w", firstIncarnation, mothferry.LookReport{})
+	s.answerAs("w", firstIncarnation, mothferry.PollReport{})
 	s.submit("j", count)
 	s.advance(50 * time.Millisecond)
 	starts := takeCommands[mfsched.Start](s)
@@ -68,7 +68,7 @@
 	for _, o := range starts {
 		s.answerStart(o, mfsched.ResultDone, "")
 	}
-	s.answerAs("w", firstIncarnation, mothferry.LookReport{
+	s.answerAs("w", firstIncarnation, mothferry.PollReport{
 		Running: runningOf(starts[1:]),
 		Ended:   []mothferry.EndedTask{{Number: 7, Task: starts[0].Order.Task, Run: 1, Cause: mothferry.EndDone}},
 	})
@@ -77,13 +77,13 @@
 	s.listIncarnation("w", secondIncarnation)
 	s.advance(50 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0, "it has not been polled yet")
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	again := s.acceptStarts(time.Second)
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Order.Task, starts[1].Order.Task)
 	assert.Assert(t, again[0].Order.Run > 1)
 	assert.Assert(t, again[0].Order.Until < mothferry.WorkerClock(30*time.Minute), "a lease by the previous incarnation's clock")
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: again[0].Order.Task, Run: again[0].Order.Run, Cause: mothferry.EndDone}}})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: 1, Task: again[0].Order.Task, Run: again[0].Order.Run, Cause: mothferry.EndDone}}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, s.jobState("j"), "completed", "its ends are numbered from the start")
 }
@@ -105,9 +105,9 @@
 	s, starts := runningInFirstIncarnation(t, 1)
 	s.answerStart(starts[0], mfsched.ResultDone, "")
 	s.advance(300 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	assert.Equal(t, len(s.acceptStarts(1500*time.Millisecond)), 1, "the previous incarnation's run has ended")
-	s.step(mfsched.PollAnswered{Worker: "w", Number: 1, Sent: startTime, Report: mothferry.LookReport{Born: firstIncarnation, Clock: mothferry.WorkerClock(2 * time.Hour), Running: runningOf(starts)}})
+	s.step(mfsched.PollAnswered{Worker: "w", Number: 1, Sent: startTime, Report: mothferry.PollReport{StartedAt: firstIncarnation, Clock: mothferry.WorkerClock(2 * time.Hour), Running: runningOf(starts)}})
 	s.listIncarnation("w", firstIncarnation)
 	s.advance(300 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Stop](s)), 0)
@@ -124,7 +124,7 @@
 	// The start has no answer, and the worker restarts.
 	s.listIncarnation("w", secondIncarnation)
 	s.advance(30 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	s.advance(100 * time.Millisecond)
 	for _, o := range takeCommands[mfsched.Start](s) {
 		assert.Assert(t, o.Order.Run == 1, "started again while the first order may be carried out")
@@ -134,7 +134,7 @@
 	assert.Equal(t, stops[0].Task, starts[0].Order.Task)
 	s.step(mfsched.StopAnswered{Worker: "w", Sent: s.now, Task: stops[0].Task, Run: 1, Result: mfsched.ResultDone})
 	s.advance(30 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	s.advance(100 * time.Millisecond)
 	again := takeCommands[mfsched.Start](s)
 	assert.Equal(t, len(again), 1)
@@ -148,7 +148,7 @@
 	startedAt := firstIncarnation
 	s.listIncarnation("w", startedAt)
 	s.advance(10 * time.Millisecond)
-	s.answerAs("w", startedAt, mothferry.LookReport{})
+	s.answerAs("w", startedAt, mothferry.PollReport{})
 	s.submit("j", 1)
 	runs := 0
 	for range 40 {
@@ -163,7 +163,7 @@
 			s.step(mfsched.StopAnswered{Worker: "w", Sent: s.now, Task: o.Task, Run: o.Run, Result: mfsched.ResultDone})
 		}
 		for _, p := range takeCommands[mfsched.Poll](s) {
-			s.step(mfsched.PollAnswered{Worker: "w", Number: p.Number, Sent: s.now, Report: mothferry.LookReport{Born: startedAt, Clock: mothferry.WorkerClock(s.now.Sub(startTime))}})
+			s.step(mfsched.PollAnswered{Worker: "w", Number: p.Number, Sent: s.now, Report: mothferry.PollReport{StartedAt: startedAt, Clock: mothferry.WorkerClock(s.now.Sub(startTime))}})
 		}
 	}
 	assert.Equal(t, s.jobState("j"), "failed")
@@ -177,7 +177,7 @@
 	s.answerStart(starts[0], mfsched.ResultDone, "")
 	s.listIncarnation("w", secondIncarnation)
 	s.advance(30 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	s.step(mfsched.IncarnationEnded{Worker: "w", Cause: mfsched.IncarnationCrashed})
 	assert.Equal(t, len(s.acceptStarts(time.Second)), 1, "the new incarnation gets work")
 }
@@ -188,7 +188,7 @@
 	s.t.Helper()
 	s.listIncarnation("w", secondIncarnation)
 	s.advance(30 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{Running: runningOf(starts)})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{Running: runningOf(starts)})
 }
 
 // An order that finds another worker at a former address must not end its worker's new
@@ -222,7 +222,7 @@
 	s.restartWithRuns(nil)
 	s.step(mfsched.StopAnswered{Worker: "w", Sent: sent, Task: starts[0].Order.Task, Run: 1, Result: mfsched.ResultDone})
 	s.advance(30 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	for _, o := range s.acceptStarts(100 * time.Millisecond) {
 		assert.Equal(t, o.Order.Run, mothferry.RunNumber(1), "started elsewhere while the first order may be carried out")
 	}
@@ -241,7 +241,7 @@
 	s.listIncarnation("w", secondIncarnation)
 	s.step(mfsched.PollFailed{Worker: "w", Number: first[0].Number, Sent: sent, Result: mfsched.ResultIncarnationEnded})
 	s.advance(20 * time.Millisecond)
-	s.answerAs("w", secondIncarnation, mothferry.LookReport{})
+	s.answerAs("w", secondIncarnation, mothferry.PollReport{})
 	s.submit("j", 1)
 	assert.Equal(t, len(s.acceptStarts(time.Second)), 1, "the new incarnation gets work")
 }
@@ -273,9 +273,9 @@
 				s.step(mfsched.PollFailed{Worker: "w", Number: p.Number, Sent: s.now, Result: mfsched.ResultUnknown})
 				continue
 			}
-			report := mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
+			report := mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
 			if p.At.Worker == "w" {
-				report.Born = firstIncarnation
+				report.StartedAt = firstIncarnation
 			}
 			s.step(mfsched.PollAnswered{Worker: p.At.Worker, Number: p.Number, Sent: s.now, Report: report})
 		}
@@ -309,7 +309,7 @@
 func TestIncarnationThatNeverAnswersEnds(t *testing.T) {
 	s, _ := runningOn(t, "w")
 	s.advance(50 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{Born: 1, Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j"}, Run: 1, Percent: 10}}})
+	s.answerPoll("w", mothferry.PollReport{StartedAt: 1, Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j"}, Run: 1, Percent: 10}}})
 	restarted := worker("w")
 	restarted.StartedAt = 2
 	s.step(mfsched.WorkerListed{Worker: restarted})
@@ -322,7 +322,7 @@
 	}
 	s.listWorker("other")
 	s.advance(50 * time.Millisecond)
-	s.answerPoll("other", mothferry.LookReport{})
+	s.answerPoll("other", mothferry.PollReport{})
 	s.advance(200 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 }
@@ -332,7 +332,7 @@
 func TestPollsOfMissingIncarnationAreRateLimited(t *testing.T) {
 	s, _ := runningOn(t, "w")
 	s.advance(50 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{Born: 1})
+	s.answerPoll("w", mothferry.PollReport{StartedAt: 1})
 	restarted := worker("w")
 	restarted.StartedAt = 2
 	s.step(mfsched.WorkerListed{Worker: restarted})
--- a/mfsched/loss_test.go
+++ b/mfsched/loss_test.go
@@ -18,7 +18,7 @@
 	s.step(mfsched.JobsLoaded{})
 	s.listWorker("w-1")
 	s.advance(20 * time.Millisecond)
-	s.answerPoll("w-1", mothferry.LookReport{})
+	s.answerPoll("w-1", mothferry.PollReport{})
 	s.submit("j-1", 1)
 	s.advance(100 * time.Millisecond)
 	starts := takeCommands[mfsched.Start](s)
@@ -60,7 +60,7 @@
 // one is refused, while the first may still be carried out seconds later. The run must be
 // stopped before the task may start anywhere else.
 func TestRefusalOfResentStartDoesNotEndRun(t *testing.T) {
-	for _, why := range []mothferry.OrderRefusal{mothferry.RefusalRoom, mothferry.RefusalRun, mothferry.RefusalUnhealthy} {
+	for _, why := range []mothferry.OrderRefusal{mothferry.RefusalCapacity, mothferry.RefusalRun, mothferry.RefusalUnhealthy} {
 		s, first := newScriptWithStart(t)
 		s.answerStart(s.resentStart(), mfsched.ResultRefused, why)
 		stops := takeCommands[mfsched.Stop](s)
@@ -95,7 +95,7 @@
 	polls := takeCommands[mfsched.Poll](s)
 	assert.Assert(t, len(polls) >= 2, "another poll is sent: %d", len(polls))
 	task := first.Order.Task
-	s.step(mfsched.PollAnswered{Worker: "w-1", Number: polls[0].Number, Sent: s.now.Add(-time.Second), Report: mothferry.LookReport{
+	s.step(mfsched.PollAnswered{Worker: "w-1", Number: polls[0].Number, Sent: s.now.Add(-time.Second), Report: mothferry.PollReport{
 		Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 		Ended: []mothferry.EndedTask{{Number: 1, Task: task, Run: first.Order.Run, Cause: mothferry.EndDone}},
 	}})
--- a/mfsched/newestruns_test.go
+++ b/mfsched/newestruns_test.go
@@ -16,7 +16,7 @@
 func TestWorkerEndLogNamesNewestRuns(t *testing.T) {
 	s, _ := runningOn(t, "w")
 	s.advance(300 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j"}, Run: 1, Percent: 40}}})
+	s.answerPoll("w", mothferry.PollReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "j"}, Run: 1, Percent: 40}}})
 	s.submit("k", 1)
 	s.advance(50 * time.Millisecond)
 	takeCommands[mfsched.Decision](s)
--- a/mfsched/report.go
+++ b/mfsched/report.go
@@ -108,7 +108,7 @@
 		t.percent, t.unchangedFor = r.Percent, 0
 	}
 	s.recordSpeedProgress(t, w, now)
-	t.tailLatency = r.Tail
+	t.tailLatency = r.TailLatency
 	if t.step.spec.Lasting {
 		t.updateUnavailableSince(now)
 		s.resetCrashes(t, now)
--- a/mfsched/retention_test.go
+++ b/mfsched/retention_test.go
@@ -20,7 +20,7 @@
 	name := starts[0].Order.Task
 	s.step(mfsched.StartAnswered{Worker: id, Task: name, Run: 1, Result: mfsched.ResultDone})
 	s.advance(50 * time.Millisecond)
-	s.answerPoll(id, mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: number, Task: name, Run: 1, Cause: mothferry.EndDone}}})
+	s.answerPoll(id, mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: number, Task: name, Run: 1, Cause: mothferry.EndDone}}})
 }
 
 // Guards against keeping the submissions of finished jobs as long as their final states: with
@@ -30,7 +30,7 @@
 	s := newScript(t)
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.submit("j", 1)
 	s.finishTask("w", 1)
 	s.advance(2 * time.Second)
@@ -53,7 +53,7 @@
 	s := newScript(t)
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.submit("j", 1)
 	s.finishTask("w", 1)
 	// The commit with its end is not answered; the job is submitted again meanwhile.
@@ -78,7 +78,7 @@
 	s.step(mfsched.JobFinished{Job: "j", State: mfjob.StateCompleted})
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.submit("j", 1)
 	s.advance(time.Second)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
@@ -113,7 +113,7 @@
 	s := newScript(t)
 	s.listWorker("w")
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w", mothferry.LookReport{})
+	s.answerPoll("w", mothferry.PollReport{})
 	s.submit("j", 1)
 	s.finishTask("w", 1)
 	s.advance(limits().FinishedJobRetention + time.Second)
--- a/mfsched/share_test.go
+++ b/mfsched/share_test.go
@@ -127,7 +127,7 @@
 	o := takeCommands[mfsched.Start](s)[0]
 	s.answerStart(o, mfsched.ResultDone, "")
 	s.now = s.now.Add(5 * time.Second)
-	s.answerPoll("w", mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: o.Order.Task, Run: 1, Cause: mothferry.EndDone}}})
+	s.answerPoll("w", mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: 1, Task: o.Order.Task, Run: 1, Cause: mothferry.EndDone}}})
 	assert.DeepEqual(t, takeCommands[mfsched.JobEnd](s), []mfsched.JobEnd{
 		{Queue: queue, Account: "hot", End: mfsched.EndCancelled}, {Queue: queue, Account: "calm", End: mfsched.EndLate},
 	})
--- a/mfsched/silent_test.go
+++ b/mfsched/silent_test.go
@@ -24,7 +24,7 @@
 				s.step(mfsched.PollFailed{Worker: "w-1", Result: mfsched.ResultUnknown})
 				continue
 			}
-			s.step(mfsched.PollAnswered{Worker: p.At.Worker, Sent: s.now, Report: mothferry.LookReport{
+			s.step(mfsched.PollAnswered{Worker: p.At.Worker, Sent: s.now, Report: mothferry.PollReport{
 				Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 			}})
 		}
@@ -56,7 +56,7 @@
 		}
 		s.advance(time.Second)
 		for range polls {
-			s.step(mfsched.PollAnswered{Worker: "w-1", Sent: sent, Report: mothferry.LookReport{
+			s.step(mfsched.PollAnswered{Worker: "w-1", Sent: sent, Report: mothferry.PollReport{
 				Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 			}})
 		}
@@ -79,12 +79,12 @@
 				s.step(mfsched.PollFailed{Worker: "w-1", Result: mfsched.ResultUnknown})
 				continue
 			}
-			s.step(mfsched.PollAnswered{Worker: "w-2", Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(time.Hour)}})
+			s.step(mfsched.PollAnswered{Worker: "w-2", Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(time.Hour)}})
 		}
 		assert.Assert(t, s.now.Sub(startTime) < 20*time.Second, "the task was not ordered elsewhere")
 	}
 	s.advance(400 * time.Millisecond)
-	s.answerPoll("w-1", mothferry.LookReport{Ended: []mothferry.EndedTask{{Number: 1, Task: task, Run: 1, Cause: mothferry.EndDone}}})
+	s.answerPoll("w-1", mothferry.PollReport{Ended: []mothferry.EndedTask{{Number: 1, Task: task, Run: 1, Cause: mothferry.EndDone}}})
 	stops := takeCommands[mfsched.Stop](s)
 	assert.Equal(t, len(stops), 1)
 	assert.Equal(t, stops[0].At.Worker, mothferry.WorkerID("w-2"))
@@ -104,7 +104,7 @@
 			run = o.Order.Run
 			s.answerStart(o, mfsched.ResultDone, "")
 		}
-		report := mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
+		report := mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
 		if stopped := takeCommands[mfsched.Stop](s); len(stopped) > 0 {
 			stops++
 			report.Ended = []mothferry.EndedTask{{Number: mothferry.EndNumber(stops), Task: stopped[0].Task, Run: stopped[0].Run, Cause: mothferry.EndStopped}}
--- a/mfsched/straggler_bench_test.go
+++ b/mfsched/straggler_bench_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		for _, l := range takeCommands[mfsched.Poll](s) {
-			report := mothferry.LookReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
+			report := mothferry.PollReport{Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour)}
 			for _, r := range runs[l.At.Worker] {
 				report.Running = append(report.Running, mothferry.RunningTask{Task: r.task, Run: r.run, Percent: int(100 * r.done)})
 			}
--- a/mfsched/straggler_test.go
+++ b/mfsched/straggler_test.go
@@ -119,9 +119,9 @@
 // answerTo returns a worker's answer to a poll as of now.
 func (p *simPool) answerTo(l mfsched.Poll) mfsched.PollAnswered {
 	id := l.At.Worker
-	report := mothferry.LookReport{Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour)}
+	report := mothferry.PollReport{Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour)}
 	for _, e := range p.ends[id] {
-		if e.Number > l.Order.Noted {
+		if e.Number > l.Order.LastEndSeen {
 			report.Ended = append(report.Ended, e)
 		}
 	}
@@ -204,9 +204,9 @@
 	p.speed["w-0"] = 0.2
 	p.submitSteadily(time.Second)
 	assert.DeepEqual(t, p.slowWorkers(), []mothferry.WorkerID{"w-0"})
-	for i := range mothferry.LifeStart(2) {
-		p.step(mfsched.PollAnswered{Worker: "w-0", Sent: p.now, Report: mothferry.LookReport{
-			Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour), Born: i + 1,
+	for i := range mothferry.IncarnationStart(2) {
+		p.step(mfsched.PollAnswered{Worker: "w-0", Sent: p.now, Report: mothferry.PollReport{
+			Clock: mothferry.WorkerClock(p.now.Sub(startTime) + time.Hour), StartedAt: i + 1,
 		}})
 	}
 	assert.Equal(t, len(p.slowWorkers()), 0)
--- a/mfsched/takeover_test.go
+++ b/mfsched/takeover_test.go
@@ -31,8 +31,8 @@
 	s.listWorker("w-2")
 	s.step(mfsched.WorkerUnlisted{Worker: "w-1"})
 	s.advance(10 * time.Millisecond)
-	s.answerPoll("w-2", mothferry.LookReport{})
-	s.answerPoll("w-1", mothferry.LookReport{Running: []mothferry.RunningTask{{
+	s.answerPoll("w-2", mothferry.PollReport{})
+	s.answerPoll("w-1", mothferry.PollReport{Running: []mothferry.RunningTask{{
 		Task: mothferry.TaskName{Job: "j"}, Run: 1, Percent: 10,
 	}}})
 	s.advance(200 * time.Millisecond)
@@ -49,7 +49,7 @@
 	s.step(restoredJob(s.now))
 	s.listWorker("w-2")
 	s.advance(50 * time.Millisecond)
-	s.answerPoll("w-2", mothferry.LookReport{})
+	s.answerPoll("w-2", mothferry.PollReport{})
 	l := limits()
 	for s.now.Before(startTime.Add(l.RenewLeasesFor + l.LeaseDuration)) {
 		s.advance(100 * time.Millisecond)
@@ -74,7 +74,7 @@
 func answerIdle(s *script, id mothferry.WorkerID) {
 	for _, p := range takeCommands[mfsched.Poll](s) {
 		if p.At.Worker == id {
-			s.step(mfsched.PollAnswered{Worker: id, Sent: s.now, Report: mothferry.LookReport{
+			s.step(mfsched.PollAnswered{Worker: id, Sent: s.now, Report: mothferry.PollReport{
 				Clock: mothferry.WorkerClock(s.now.Sub(startTime) + time.Hour),
 			}})
 		}
@@ -97,7 +97,7 @@
 	s.step(mfsched.WorkersToEvacuate{Workers: map[mothferry.WorkerID]bool{"w-1": true}})
 	s.advance(10 * time.Millisecond)
 	for i, id := range []mothferry.WorkerID{"w-1", "w-2"} {
-		s.answerPoll(id, mothferry.LookReport{Running: []mothferry.RunningTask{{
+		s.answerPoll(id, mothferry.PollReport{Running: []mothferry.RunningTask{{
 			Task: mothferry.TaskName{Job: "j", Index: i}, Run: 1, Percent: 100,
 		}}})
 	}
@@ -138,15 +138,15 @@
 	for i := range 3 {
 		ends = append(ends, mothferry.EndedTask{Number: mothferry.EndNumber(i + 1), Task: mothferry.TaskName{Job: "j", Index: i}, Run: 1, Cause: mothferry.EndDone})
 	}
-	s.answerPoll("w-1", mothferry.LookReport{Ended: ends[:2]})
+	s.answerPoll("w-1", mothferry.PollReport{Ended: ends[:2]})
 	answerIdle(s, "w-2")
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
 	polls := takeCommands[mfsched.Poll](s)
 	assert.Assert(t, len(polls) > 0)
 	assert.Equal(t, polls[0].At.Worker, mothferry.WorkerID("w-1"))
-	assert.Equal(t, polls[0].Order.Noted, mothferry.EndNumber(2))
-	s.step(mfsched.PollAnswered{Worker: "w-1", Sent: s.now, Report: mothferry.LookReport{Clock: mothferry.WorkerClock(time.Hour), Ended: ends[2:]}})
+	assert.Equal(t, polls[0].Order.LastEndSeen, mothferry.EndNumber(2))
+	s.step(mfsched.PollAnswered{Worker: "w-1", Sent: s.now, Report: mothferry.PollReport{Clock: mothferry.WorkerClock(time.Hour), Ended: ends[2:]}})
 	s.advance(100 * time.Millisecond)
 	assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
 	pending, _ := s.state.Pending()
@@ -172,11 +172,11 @@
 			s.step(mfsched.JobFinished{Job: "over", State: mfjob.StateCancelled, Submission: finished})
 			s.listWorker("w")
 			s.advance(10 * time.Millisecond)
-			s.answerPoll("w", mothferry.LookReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "over"}, Run: 1, Percent: 10}}})
+			s.answerPoll("w", mothferry.PollReport{Running: []mothferry.RunningTask{{Task: mothferry.TaskName{Job: "over"}, Run: 1, Percent: 10}}})
 			s.submitWithStep("next", 1, func(step *mfjob.Step) { step.Need.Cores = c.need })
 			s.advance(100 * time.Millisecond)
 			assert.Equal(t, len(takeCommands[mfsched.Start](s)), 0)
-			s.answerPoll("w", mothferry.LookReport{})
+			s.answerPoll("w", mothferry.PollReport{})
 			s.advance(100 * time.Millisecond)
 			assert.Equal(t, len(takeCommands[mfsched.Start](s)), 1)
 		})
--- a/mfsched/worker.go
+++ b/mfsched/worker.go
@@ -19,7 +19,7 @@
 	// startedAt is when the incarnation that answered last started, Worker.StartedAt when the
 	// listed one did. restartedAt is when a restart under the same id was detected; zero if
 	// none was.
-	startedAt   mothferry.LifeStart
+	startedAt   mothferry.IncarnationStart
 	restartedAt time.Time
 	// fenced says that it has answered a poll of this epoch: from then on it refuses orders of
 	// previous owners.
@@ -301,11 +301,11 @@
 
 // pollNoWait polls a worker without waiting for ends.
 func (s *State) pollNoWait(w *worker, now time.Time) {
-	s.sendPoll(w, mothferry.LookOrder{Epoch: s.Epoch, Noted: w.lastEndStored, Until: s.leaseEnd(w, now)}, now)
+	s.sendPoll(w, mothferry.PollOrder{Epoch: s.Epoch, LastEndSeen: w.lastEndStored, Until: s.leaseEnd(w, now)}, now)
 }
 
 func (s *State) poll(w *worker, now time.Time) {
-	order := mothferry.LookOrder{Epoch: s.Epoch, Noted: w.lastEndStored}
+	order := mothferry.PollOrder{Epoch: s.Epoch, LastEndSeen: w.lastEndStored}
 	order.Until = s.leaseEnd(w, now)
 	switch {
 	case !w.fenced || w.unresponsive:
@@ -332,7 +332,7 @@
 	wait   time.Duration
 }
 
-func (s *State) sendPoll(w *worker, order mothferry.LookOrder, now time.Time) {
+func (s *State) sendPoll(w *worker, order mothferry.PollOrder, now time.Time) {
 	s.pollCount++
 	w.openPolls = append(w.openPolls, openPoll{number: s.pollCount, sent: now, wait: order.Wait})
 	s.emit(Poll{At: w.at, Number: s.pollCount, Order: order})
--- a/mfstandin/taskworker.go
+++ b/mfstandin/taskworker.go
@@ -99,20 +99,20 @@
 	return w.clock(), nil
 }
 
-// Look implements mothferry.TaskWorkers.
-func (w *TaskWorker) Look(_ context.Context, _ mothferry.WorkerAddress, o mothferry.LookOrder) (mothferry.LookReport, error) {
+// Poll implements mothferry.TaskWorkers.
+func (w *TaskWorker) Poll(_ context.Context, _ mothferry.WorkerAddress, o mothferry.PollOrder) (mothferry.PollReport, error) {
 	time.Sleep(min(o.Wait, w.Takes))
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if err := w.fenced(o.Epoch); err != nil {
-		return mothferry.LookReport{}, err
+		return mothferry.PollReport{}, err
 	}
-	report := mothferry.LookReport{Clock: w.clock()}
+	report := mothferry.PollReport{Clock: w.clock()}
 	for t, run := range w.running {
 		report.Running = append(report.Running, mothferry.RunningTask{Task: t, Run: run, Percent: 50})
 	}
 	for _, e := range w.ends {
-		if e.Number > o.Noted {
+		if e.Number > o.LastEndSeen {
 			report.Ended = append(report.Ended, e)
 		}
 	}
@@ -143,7 +143,7 @@
 	return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalMachineBusy}
 }
 
-// Upkeep implements mothferry.Machines; the one machine stays.
-func (w *TaskWorker) Upkeep(context.Context, mothferry.MachineID, mothferry.WaveID, mothferry.MachineFence) error {
+// StartMaintenance implements mothferry.Machines; the one machine stays.
+func (w *TaskWorker) StartMaintenance(context.Context, mothferry.MachineID, mothferry.WaveID, mothferry.MachineFence) error {
 	return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalMachineBusy}
 }
--- a/platform.go
+++ b/platform.go
@@ -49,10 +49,10 @@
 
 // Txn is one atomic change: all checks hold and all writes happen, or none.
 type Txn struct {
-	// Across says that its rows lie in several parts, which takes longer.
-	Across bool
-	Checks []Check
-	Writes []Write
+	// SpansParts says that its rows lie in several parts, which takes longer.
+	SpansParts bool
+	Checks     []Check
+	Writes     []Write
 }
 
 // Table is the platform's transactional table service.
