--- a/mfaccount/account.go
+++ b/mfaccount/account.go
@@ -15,9 +15,9 @@
 	// Weight is how many jobs a second the account is owed, and its share where there is
 	// more work than room.
 	Weight float64
-	// Most bounds what its tasks may have running over all workers. A resource that is
+	// Limit bounds what its tasks may have running over all workers. A resource that is
 	// zero is not bounded.
-	Most mothferry.Resources
+	Limit mothferry.Resources
 }
 
 // Digest stands for a key. Keys themselves are not kept, so that none shows in a log line
@@ -29,12 +29,12 @@
 // accounts. It is not changed once it is in use.
 type Directory struct {
 	accounts map[mothferry.AccountID]Account
-	holders  map[Digest]mothferry.AccountID
+	byDigest map[Digest]mothferry.AccountID
 }
 
 // NewDirectory returns a directory without accounts, which accepts no key.
 func NewDirectory() *Directory {
-	return &Directory{accounts: map[mothferry.AccountID]Account{}, holders: map[Digest]mothferry.AccountID{}}
+	return &Directory{accounts: map[mothferry.AccountID]Account{}, byDigest: map[Digest]mothferry.AccountID{}}
 }
 
 // Add takes an account and its keys in. A key that is empty, or that an account has which
@@ -43,29 +43,29 @@
 	d.accounts[a.ID] = a
 	for _, key := range keys {
 		sum := DigestOf(key)
-		if _, taken := d.holders[sum]; key != "" && !taken {
-			d.holders[sum] = a.ID
+		if _, taken := d.byDigest[sum]; key != "" && !taken {
+			d.byDigest[sum] = a.ID
 		}
 	}
 }
 
-// Holder returns the account that a key belongs to, or false if it is none's.
-func (d *Directory) Holder(key string) (mothferry.AccountID, bool) {
+// Lookup returns the account that a key belongs to, or false if it is none's.
+func (d *Directory) Lookup(key string) (mothferry.AccountID, bool) {
 	if d == nil {
 		return "", false
 	}
-	return d.HolderOf(DigestOf(key))
+	return d.LookupDigest(DigestOf(key))
 }
 
 // DigestOf returns what stands for a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// HolderOf returns the account that the key of a digest belongs to, or false if it is none's.
-func (d *Directory) HolderOf(key Digest) (mothferry.AccountID, bool) {
+// LookupDigest returns the account that the key of a digest belongs to, or false if it is none's.
+func (d *Directory) LookupDigest(key Digest) (mothferry.AccountID, bool) {
 	if d == nil {
 		return "", false
 	}
-	id, ok := d.holders[key]
+	id, ok := d.byDigest[key]
 	return id, ok
 }
 
@@ -82,5 +82,5 @@
 	if d == nil {
 		return 0
 	}
-	return len(d.holders)
+	return len(d.byDigest)
 }
--- a/mfforward/server.go
+++ b/mfforward/server.go
@@ -152,7 +152,7 @@
 	c := s.Config()
 	newer := c != nil && c.Version >= call.Config
 	if newer && call.Key != nil {
-		if account, ok := c.Accounts.HolderOf(*call.Key); !ok || account != call.Account {
+		if account, ok := c.Accounts.LookupDigest(*call.Key); !ok || account != call.Account {
 			return Answer{Outcome: OutcomeNoKey}
 		}
 	}
--- a/mfowner/session.go
+++ b/mfowner/session.go
@@ -235,7 +235,7 @@
 		}
 	}
 	for id, a := range c.Accounts.Accounts() {
-		e.Accounts[id] = mfsched.Account{Weight: a.Weight, Limit: a.Most}
+		e.Accounts[id] = mfsched.Account{Weight: a.Weight, Limit: a.Limit}
 	}
 	for _, v := range c.Services {
 		s.machines.standby[v.ID] = v.Standby
