--- a/mfadmit/queue.go
+++ b/mfadmit/queue.go
@@ -16,7 +16,7 @@
 const (
 	PriorityUrgent Priority = iota
 	PriorityBatch
-	priorities
+	priorityCount
 )
 
 // Waiter is a request that may have to wait. T is what the queue's user
@@ -30,15 +30,15 @@
 	Value T
 }
 
-// line is the waiting and working requests of one customer.
-type line[T any] struct {
-	waiting [priorities][]*Waiter[T]
-	working int
-	// served is the queue's turn count when the customer was last served.
-	served uint64
+// customerQueue is the waiting and working requests of one customer.
+type customerQueue[T any] struct {
+	waiting  [priorityCount][]*Waiter[T]
+	inFlight int
+	// lastServed is the queue's turn count when the customer was last served.
+	lastServed uint64
 }
 
-func (l *line[T]) length() int {
+func (l *customerQueue[T]) length() int {
 	count := 0
 	for _, w := range l.waiting {
 		count += len(w)
@@ -51,32 +51,32 @@
 	// Limit bounds the requests that wait.
 	Limit int
 
-	lines  map[mothferry.CustomerID]*line[T]
-	length int
-	turn   uint64
+	queues     map[mothferry.CustomerID]*customerQueue[T]
+	length     int
+	serveCount uint64
 }
 
 // Len returns how many requests wait.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Held returns how many requests of a customer wait or are in work.
-func (q *Queue[T]) Held(customer mothferry.CustomerID) int {
-	l, ok := q.lines[customer]
+// Outstanding returns how many requests of a customer wait or are in work.
+func (q *Queue[T]) Outstanding(customer mothferry.CustomerID) int {
+	l, ok := q.queues[customer]
 	if !ok {
 		return 0
 	}
-	return l.working + l.length()
+	return l.inFlight + l.length()
 }
 
 // Customers returns how many customers have requests waiting or in work.
-func (q *Queue[T]) Customers() int { return len(q.lines) }
+func (q *Queue[T]) Customers() int { return len(q.queues) }
 
 // Push adds a waiter. In a full queue somebody has to go: the newest, least
 // urgent request of the customer with the longest line. If that is the new
 // waiter itself, Push returns it. Without this rule one customer's burst
 // would fill the queue and everybody else would be refused.
 func (q *Queue[T]) Push(w *Waiter[T]) (evicted *Waiter[T]) {
-	l := q.line(w.Customer)
+	l := q.queueFor(w.Customer)
 	if w.Front {
 		l.waiting[w.Priority] = slices.Insert(l.waiting[w.Priority], 0, w)
 	} else {
@@ -90,14 +90,14 @@
 }
 
 func (q *Queue[T]) evict(newest *Waiter[T]) *Waiter[T] {
-	longest := q.lines[newest.Customer]
+	longest := q.queues[newest.Customer]
 	name := newest.Customer
-	for c, l := range q.lines {
+	for c, l := range q.queues {
 		if l.length() > longest.length() || l.length() == longest.length() && name != newest.Customer && c < name {
 			longest, name = l, c
 		}
 	}
-	for p := priorities - 1; p >= 0; p-- {
+	for p := priorityCount - 1; p >= 0; p-- {
 		waiting := longest.waiting[p]
 		if len(waiting) > 0 {
 			last := waiting[len(waiting)-1]
@@ -111,7 +111,7 @@
 // Pop takes out the waiter that goes next among those that fit, and counts it
 // as in work. It returns nil if none fits.
 func (q *Queue[T]) Pop(fits func(*Waiter[T]) bool) *Waiter[T] {
-	for p := range priorities {
+	for p := range priorityCount {
 		if w := q.next(p, fits); w != nil {
 			q.Remove(w)
 			q.Start(w.Customer)
@@ -125,9 +125,9 @@
 // requests in work; of several such customers, the one served longest ago.
 func (q *Queue[T]) next(p Priority, fits func(*Waiter[T]) bool) *Waiter[T] {
 	var best *Waiter[T]
-	var bestLine *line[T]
-	for c, l := range q.lines {
-		if len(l.waiting[p]) == 0 || best != nil && !l.before(c, bestLine, best.Customer) {
+	var bestLine *customerQueue[T]
+	for c, l := range q.queues {
+		if len(l.waiting[p]) == 0 || best != nil && !l.servedBefore(c, bestLine, best.Customer) {
 			continue
 		}
 		if i := slices.IndexFunc(l.waiting[p], fits); i >= 0 {
@@ -137,21 +137,21 @@
 	return best
 }
 
-// before reports whether l, the line of customer c, is served before o, that
+// servedBefore reports whether l, the line of customer c, is served before o, that
 // of customer d. The names make the order total and so repeatable.
-func (l *line[T]) before(c mothferry.CustomerID, o *line[T], d mothferry.CustomerID) bool {
-	if l.working != o.working {
-		return l.working < o.working
+func (l *customerQueue[T]) servedBefore(c mothferry.CustomerID, o *customerQueue[T], d mothferry.CustomerID) bool {
+	if l.inFlight != o.inFlight {
+		return l.inFlight < o.inFlight
 	}
-	if l.served != o.served {
-		return l.served < o.served
+	if l.lastServed != o.lastServed {
+		return l.lastServed < o.lastServed
 	}
 	return c < d
 }
 
 // Remove takes a waiter out and reports whether it was waiting.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
-	l, ok := q.lines[w.Customer]
+	l, ok := q.queues[w.Customer]
 	if !ok {
 		return false
 	}
@@ -161,42 +161,42 @@
 	}
 	l.waiting[w.Priority] = slices.Delete(l.waiting[w.Priority], i, i+1)
 	q.length--
-	q.forget(w.Customer)
+	q.removeIfEmpty(w.Customer)
 	return true
 }
 
 // Start counts a request of a customer as in work.
 func (q *Queue[T]) Start(customer mothferry.CustomerID) {
-	l := q.line(customer)
-	l.working++
-	q.turn++
-	l.served = q.turn
+	l := q.queueFor(customer)
+	l.inFlight++
+	q.serveCount++
+	l.lastServed = q.serveCount
 }
 
 // Finish ends what Start began.
 func (q *Queue[T]) Finish(customer mothferry.CustomerID) {
-	q.lines[customer].working--
-	q.forget(customer)
+	q.queues[customer].inFlight--
+	q.removeIfEmpty(customer)
 }
 
 // Ahead returns how many waiting requests would be served before a new one of
 // this customer and priority, if customers take turns.
 func (q *Queue[T]) Ahead(customer mothferry.CustomerID, p Priority) int {
 	own := 0
-	if l, ok := q.lines[customer]; ok {
-		own = l.upTo(p)
+	if l, ok := q.queues[customer]; ok {
+		own = l.lengthUpTo(p)
 	}
 	ahead := own
-	for c, l := range q.lines {
+	for c, l := range q.queues {
 		if c != customer {
-			ahead += min(l.upTo(p), own+1)
+			ahead += min(l.lengthUpTo(p), own+1)
 		}
 	}
 	return ahead
 }
 
-// upTo counts the waiters of priority p or more urgent.
-func (l *line[T]) upTo(p Priority) int {
+// lengthUpTo counts the waiters of priority p or more urgent.
+func (l *customerQueue[T]) lengthUpTo(p Priority) int {
 	count := 0
 	for i := range p + 1 {
 		count += len(l.waiting[i])
@@ -207,7 +207,7 @@
 // RemoveIf takes out the waiters that match.
 func (q *Queue[T]) RemoveIf(match func(*Waiter[T]) bool) []*Waiter[T] {
 	var matching []*Waiter[T]
-	for _, l := range q.lines {
+	for _, l := range q.queues {
 		for _, waiting := range l.waiting {
 			for _, w := range waiting {
 				if match(w) {
@@ -222,22 +222,22 @@
 	return matching
 }
 
-func (q *Queue[T]) line(customer mothferry.CustomerID) *line[T] {
-	if q.lines == nil {
-		q.lines = map[mothferry.CustomerID]*line[T]{}
+func (q *Queue[T]) queueFor(customer mothferry.CustomerID) *customerQueue[T] {
+	if q.queues == nil {
+		q.queues = map[mothferry.CustomerID]*customerQueue[T]{}
 	}
-	l, ok := q.lines[customer]
+	l, ok := q.queues[customer]
 	if !ok {
-		l = &line[T]{served: q.turn}
-		q.lines[customer] = l
+		l = &customerQueue[T]{lastServed: q.serveCount}
+		q.queues[customer] = l
 	}
 	return l
 }
 
-// forget drops the line of a customer that has nothing here, so that memory
+// removeIfEmpty drops the line of a customer that has nothing here, so that memory
 // does not grow with every customer ever seen.
-func (q *Queue[T]) forget(customer mothferry.CustomerID) {
-	if l := q.lines[customer]; l.working == 0 && l.length() == 0 {
-		delete(q.lines, customer)
+func (q *Queue[T]) removeIfEmpty(customer mothferry.CustomerID) {
+	if l := q.queues[customer]; l.inFlight == 0 && l.length() == 0 {
+		delete(q.queues, customer)
 	}
 }
--- a/mfroute/balancer.go
+++ b/mfroute/balancer.go
@@ -179,7 +179,7 @@
 	}
 	b.arrived++
 	b.retries = min(b.retries+b.Limits.RetryRatio, retryBurst)
-	if b.queue.Held(t.Customer) >= b.document.InFlightLimit(t.Customer) {
+	if b.queue.Outstanding(t.Customer) >= b.document.InFlightLimit(t.Customer) {
 		return b.refusal(mothferry.ReasonCustomerLimit)
 	}
 	left := t.Deadline.Sub(now)
@@ -200,7 +200,7 @@
 // overload, and keeps the longer wait: with few slots a single turn of the
 // others' would otherwise be too long for it.
 func (b *Balancer) waitShare(customer mothferry.CustomerID) float64 {
-	if b.overloaded && (b.queue.Held(customer)-1)*b.queue.Customers() >= b.capacity() {
+	if b.overloaded && (b.queue.Outstanding(customer)-1)*b.queue.Customers() >= b.capacity() {
 		return b.Limits.OverloadShare
 	}
 	return b.Limits.WaitShare
--- a/mfroute/balancer_test.go
+++ b/mfroute/balancer_test.go
@@ -261,5 +261,5 @@
 		}
 	}
 	assert.Equal(t, k.balancer.runners[0].inFlight, 0)
-	assert.Equal(t, k.balancer.queue.Held("c"), 0)
+	assert.Equal(t, k.balancer.queue.Outstanding("c"), 0)
 }
