--- a/mfchange/change.go
+++ b/mfchange/change.go
@@ -25,8 +25,8 @@
 	tokenPrefix     mothferry.Key = "tokens/"
 )
 
-// tokenKeep is how long the outcome of a change can be found by its token.
-const tokenKeep = 24 * time.Hour
+// tokenRetention is how long the outcome of a change can be found by its token.
+const tokenRetention = 24 * time.Hour
 
 // Attempts of one change and the pause between them.
 const (
@@ -61,7 +61,7 @@
 	var last error
 	for range maxAttempts {
 		revision, err := a.attempt(ctx, c)
-		if err == nil || !mayTryAgain(err) {
+		if err == nil || !isRetryable(err) {
 			return revision, err
 		}
 		last = err
@@ -72,9 +72,9 @@
 	return 0, trace.Wrap(last)
 }
 
-// mayTryAgain reports whether an attempt can do better: after a lost reply,
+// isRetryable reports whether an attempt can do better: after a lost reply,
 // or after a race for the revision row with a change of another document.
-func mayTryAgain(err error) bool {
+func isRetryable(err error) bool {
 	var conflict *mothferry.ErrConflict
 	var unavailable *mothferry.ErrUnavailable
 	return errors.As(err, &conflict) || errors.As(err, &unavailable)
@@ -123,7 +123,7 @@
 		Writes: []mothferry.Write{
 			{Key: RevisionKey, Value: number},
 			{Key: documentKey, Value: data},
-			{Key: tokenKey, Value: number, Expires: a.Clock.Now().Add(tokenKeep)},
+			{Key: tokenKey, Value: number, Expires: a.Clock.Now().Add(tokenRetention)},
 		},
 	})
 	return revision, trace.Wrap(err)
--- a/mfchange/change_test.go
+++ b/mfchange/change_test.go
@@ -41,9 +41,9 @@
 	assert.Equal(t, delta.Revision, mothferry.Revision(1))
 }
 
-// TestSameDocumentAgain: a document that says nothing new is accepted without
+// TestUnchangedDocumentGetsNoRevision: a document that says nothing new is accepted without
 // a new revision, whatever revision it was edited from.
-func TestSameDocumentAgain(t *testing.T) {
+func TestUnchangedDocumentGetsNoRevision(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	accepter := &Accepter{Table: table, Clock: mfclock.System{}}
 	for i := range 3 {
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestReadAllAdoptsNothingInPart: a row that cannot be read, or that is newer
+// TestReadAllIsAllOrNothing: a row that cannot be read, or that is newer
 // than the revision it was read with, fails the whole.
-func TestReadAllAdoptsNothingInPart(t *testing.T) {
+func TestReadAllIsAllOrNothing(t *testing.T) {
 	for _, value := range []string{"{", `{"revision": 0}`, `{"revision": 9, "document": {"service": "s"}}`} {
 		table := mffake.NewTable(mfclock.System{})
 		_, err := table.Commit(t.Context(), mothferry.Txn{Writes: []mothferry.Write{
