--- a/mfcommand/command.go
+++ b/mfcommand/command.go
@@ -112,7 +112,7 @@
 	}
 	err := run(ctx, flags.Args())
 	if err != nil {
-		report(e, c, err)
+		printError(e, c, err)
 	}
 	return exitCode(err)
 }
@@ -222,8 +222,8 @@
 	}
 }
 
-// report prints an error and what to do about it.
-func report(e *Environment, c command, err error) {
+// printError prints an error and what to do about it.
+func printError(e *Environment, c command, err error) {
 	var usage *errUsage
 	var conflict *mothferry.ErrDocumentConflict
 	switch {
--- a/mfcommand/document.go
+++ b/mfcommand/document.go
@@ -28,9 +28,9 @@
 
 // Tries of a change whose reply was lost, and the pause between them.
 const (
-	applyTries = 5
-	applyPause = 500 * time.Millisecond
-	waitPause  = 100 * time.Millisecond
+	applyAttempts   = 5
+	applyRetryDelay = 500 * time.Millisecond
+	pollInterval    = 100 * time.Millisecond
 )
 
 func checkCommand() command {
@@ -63,8 +63,8 @@
 	return document, string(data), err
 }
 
-// apply holds the flags of the apply command.
-type apply struct {
+// applyOptions holds the flags of the apply command.
+type applyOptions struct {
 	environment *Environment
 	operator    *string
 	output      *string
@@ -80,7 +80,7 @@
 		name: "apply", arguments: "FILE...", help: "Change service documents, each in one transaction.",
 		details: "The revision that was edited comes from --base, else from the line \"" + revisionComment + "N\" that get writes,\nelse the document must be new. If somebody else changed the document since, nothing is changed and the difference is shown.",
 		prepare: func(e *Environment, flags *flag.FlagSet) runFunc {
-			a := &apply{
+			a := &applyOptions{
 				environment: e,
 				operator:    operatorFlag(e, flags),
 				output:      outputFlag(flags),
@@ -95,7 +95,7 @@
 	}
 }
 
-func (a *apply) run(ctx context.Context, files []string) error {
+func (a *applyOptions) run(ctx context.Context, files []string) error {
 	if err := checkOutput(*a.output); err != nil {
 		return err
 	}
@@ -107,15 +107,15 @@
 	}
 	client := operatorClient(*a.operator)
 	for _, f := range files {
-		if err := a.one(ctx, client, f); err != nil {
+		if err := a.applyFile(ctx, client, f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applied is the JSON output of one change.
-type applied struct {
+// applyResult is the JSON output of one change.
+type applyResult struct {
 	Service  mothferry.ServiceID `json:"service"`
 	Revision mothferry.Revision  `json:"revision"`
 	InForce  int                 `json:"in_force,omitempty"`
@@ -123,7 +123,7 @@
 	Millis   int64               `json:"in_force_after_ms,omitempty"`
 }
 
-func (a *apply) one(ctx context.Context, client *mfoperate.Client, file string) error {
+func (a *applyOptions) applyFile(ctx context.Context, client *mfoperate.Client, file string) error {
 	document, text, err := readDocument(file)
 	if err != nil {
 		return err
@@ -137,9 +137,9 @@
 	if err != nil {
 		return err
 	}
-	result := applied{Service: document.Service, Revision: revision}
+	result := applyResult{Service: document.Service, Revision: revision}
 	if *a.wait {
-		if result.InForce, result.Daemons, err = a.await(ctx, client, revision); err != nil {
+		if result.InForce, result.Daemons, err = a.awaitInForce(ctx, client, revision); err != nil {
 			return err
 		}
 		result.Millis = a.environment.Clock.Now().Sub(began).Milliseconds()
@@ -147,7 +147,7 @@
 	return a.print(result)
 }
 
-func (a *apply) print(r applied) error {
+func (a *applyOptions) print(r applyResult) error {
 	if *a.output == outputJSON {
 		return json.NewEncoder(a.environment.Out).Encode(r)
 	}
@@ -160,7 +160,7 @@
 }
 
 // baseOf returns the revision that a document's edit was based on.
-func (a *apply) baseOf(ctx context.Context, client *mfoperate.Client, service mothferry.ServiceID, text string) (mothferry.Revision, error) {
+func (a *applyOptions) baseOf(ctx context.Context, client *mfoperate.Client, service mothferry.ServiceID, text string) (mothferry.Revision, error) {
 	if *a.overwrite {
 		_, revision, err := client.Document(ctx, service)
 		var refused *mfoperate.ErrRefused
@@ -171,7 +171,7 @@
 	}
 	number := *a.base
 	if number == "" {
-		number = noted(text)
+		number = revisionOf(text)
 	}
 	if number == "" {
 		return 0, nil
@@ -183,8 +183,8 @@
 	return mothferry.Revision(base), nil
 }
 
-// noted returns the revision that get noted in a document's text.
-func noted(text string) string {
+// revisionOf returns the revision that get noted in a document's text.
+func revisionOf(text string) string {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for lines.Scan() {
 		if number, ok := strings.CutPrefix(lines.Text(), revisionComment); ok {
@@ -195,24 +195,24 @@
 }
 
 // send makes a change, trying again with the same token if no reply came.
-func (a *apply) send(ctx context.Context, client *mfoperate.Client, service mothferry.ServiceID, text string, base mothferry.Revision) (mothferry.Revision, error) {
+func (a *applyOptions) send(ctx context.Context, client *mfoperate.Client, service mothferry.ServiceID, text string, base mothferry.Revision) (mothferry.Revision, error) {
 	token := mfdaemon.NewToken()
 	var last error
-	for range applyTries {
+	for range applyAttempts {
 		revision, err := client.Apply(ctx, service, text, base, *a.author, token)
 		if err == nil || exitCode(err) != exitNoReply {
 			return revision, err
 		}
 		last = err
-		if !mfclock.Sleep(ctx, a.environment.Clock, applyPause) {
+		if !mfclock.Sleep(ctx, a.environment.Clock, applyRetryDelay) {
 			break
 		}
 	}
 	return 0, last
 }
 
-// await waits until every daemon has a revision in force.
-func (a *apply) await(ctx context.Context, client *mfoperate.Client, revision mothferry.Revision) (count, all int, err error) {
+// awaitInForce waits until every daemon has a revision in force.
+func (a *applyOptions) awaitInForce(ctx context.Context, client *mfoperate.Client, revision mothferry.Revision) (count, all int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, *a.timeout)
 	defer cancel()
 	var lagging []mothferry.DaemonID
@@ -224,7 +224,7 @@
 				return count, all, nil
 			}
 		}
-		if !mfclock.Sleep(ctx, a.environment.Clock, waitPause) {
+		if !mfclock.Sleep(ctx, a.environment.Clock, pollInterval) {
 			return count, all, trace.LimitExceeded("revision %d is accepted, but in force at %d of %d daemons only; these lag: %v", revision, count, all, lagging)
 		}
 	}
--- a/mfcommand/explain_test.go
+++ b/mfcommand/explain_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const logs = `  1.0 host-a {"fields":{"daemon":"host-a","job":"j-1","outcome":"done"},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"job is handed in"}
+const sampleLogs = `  1.0 host-a {"fields":{"daemon":"host-a","job":"j-1","outcome":"done"},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"job is handed in"}
   3.0 host-b {"fields":{"daemon":"host-b","worker":"w-1"},"level":"info","timestamp":"2026-01-01T00:00:03Z","message":"worker does not answer"}
   2.0 host-b {"fields":{"daemon":"host-b","job":"j-1","workers":["w-1"]},"level":"info","timestamp":"2026-01-01T00:00:02Z","message":"tasks are placed"}
   3.0 host-b {"fields":{"daemon":"host-b","worker":"w-2"},"level":"info","timestamp":"2026-01-01T00:00:03Z","message":"worker does not answer"}
@@ -20,9 +20,9 @@
   9.0 host-b {"fields":{"daemon":"host-b","worker":"w-1"},"level":"info","timestamp":"2026-01-01T00:00:09Z","message":"worker answers"}
 `
 
-func TestExplainTellsOneJobsStory(t *testing.T) {
+func TestExplainPrintsJobLines(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "log")
-	assert.NilError(t, os.WriteFile(file, []byte(logs), 0o600))
+	assert.NilError(t, os.WriteFile(file, []byte(sampleLogs), 0o600))
 	var out, errors bytes.Buffer
 	e := &Environment{Out: &out, Err: &errors, Getenv: func(string) string { return "" }}
 	assert.Equal(t, Run(context.Background(), e, []string{"explain", "j-1", file}), exitOK, errors.String())
@@ -34,7 +34,7 @@
 	assert.Equal(t, Run(context.Background(), e, []string{"explain", "j-2", file}), exitFailed)
 }
 
-func TestPlayPrintsFigures(t *testing.T) {
+func TestPlayPrintsResults(t *testing.T) {
 	var out, errors bytes.Buffer
 	e := &Environment{Out: &out, Err: &errors, Getenv: func(string) string { return "" }}
 	code := Run(context.Background(), e, []string{"play", "--output", "json", "../mfexample/loads/turns.yaml"})
--- a/mfcommand/host.go
+++ b/mfcommand/host.go
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(ctx, *f.timeout)
 	defer cancel()
 	for !done(record) {
-		if !mfclock.Sleep(ctx, f.environment.Clock, waitPause) {
+		if !mfclock.Sleep(ctx, f.environment.Clock, pollInterval) {
 			return record, trace.LimitExceeded("host %s is %s in pool %s still; asking again does no harm", record.Host, record.State, record.Pool)
 		}
 		records, err := client.Hosts(ctx, record.DataCentre)
@@ -179,7 +179,7 @@
 		if err == nil && count == 0 {
 			return nil
 		}
-		if !mfclock.Sleep(ctx, f.environment.Clock, waitPause) {
+		if !mfclock.Sleep(ctx, f.environment.Clock, pollInterval) {
 			return trace.LimitExceeded("host %s still has %d runners; they leave as replacements serve, so there may be no room for these", host, count)
 		}
 	}
--- a/mfcommand/load.go
+++ b/mfcommand/load.go
@@ -19,10 +19,10 @@
 const hostsVariable = "MOTHFERRY_HOSTS"
 
 const (
-	// metricsTimeout is the usual bound of one host's answer.
-	metricsTimeout = 3 * time.Second
-	// usualTop is the usual bound of a table's rows.
-	usualTop = 20
+	// defaultMetricsTimeout is the usual bound of one host's answer.
+	defaultMetricsTimeout = 3 * time.Second
+	// defaultTop is the usual bound of a table's rows.
+	defaultTop = 20
 )
 
 func loadCommand() command {
@@ -33,9 +33,9 @@
 			"the others tell is shown.",
 		prepare: func(e *Environment, flags *flag.FlagSet) runFunc {
 			hosts := flags.String("hosts", e.Getenv(hostsVariable), "metrics addresses of all hosts (HOST:PORT or URL), separated by commas; "+hostsVariable+" sets the default")
-			timeout := flags.Duration("timeout", metricsTimeout, "how long one host may take to answer")
+			timeout := flags.Duration("timeout", defaultMetricsTimeout, "how long one host may take to answer")
 			over := flags.Duration("over", 0, "read twice, this long apart, and show what was counted between")
-			top := flags.Int("top", usualTop, "how many rows of a table are shown, the most refused first")
+			top := flags.Int("top", defaultTop, "how many rows of a table are shown, the most refused first")
 			output := outputFlag(flags)
 			return func(ctx context.Context, arguments []string) error {
 				if err := checkOutput(*output); err != nil {
@@ -53,7 +53,7 @@
 					return &errUsage{"--hosts must list the metrics addresses of the hosts"}
 				}
 				reader := &mfreport.Fetcher{HTTP: &http.Client{}, Timeout: *timeout}
-				read, missing, err := fetchOver(ctx, e, reader, addresses, *over)
+				read, missing, err := fetchInterval(ctx, e, reader, addresses, *over)
 				if err != nil {
 					return err
 				}
@@ -67,9 +67,9 @@
 	}
 }
 
-// fetchOver reads the hosts' metrics, twice if there is an interval: counters are
+// fetchInterval reads the hosts' metrics, twice if there is an interval: counters are
 // those of the interval then, and a host that missed either reading is missing.
-func fetchOver(ctx context.Context, e *Environment, f *mfreport.Fetcher, addresses []mfreport.Address, over time.Duration) ([]mfreport.Host, []mfreport.Missing, error) {
+func fetchInterval(ctx context.Context, e *Environment, f *mfreport.Fetcher, addresses []mfreport.Address, over time.Duration) ([]mfreport.Host, []mfreport.Missing, error) {
 	before, missing, err := f.Fetch(ctx, addresses)
 	if err != nil || over == 0 {
 		return before, missing, err
--- a/mfcommand/load_test.go
+++ b/mfcommand/load_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLoadIsShown(t *testing.T) {
+func TestLoadCommand(t *testing.T) {
 	var reads atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, "mothferry_owning 1\nmothferry_handed_in_total{queue=\"q\",account=\"a\",outcome=\"refused_share\"} %d\n", 7*reads.Add(1))
--- a/mfcommand/play.go
+++ b/mfcommand/play.go
@@ -53,46 +53,46 @@
 	}
 }
 
-// playFigures is one play in the command's JSON.
-type playFigures struct {
-	Seed           uint64                        `json:"seed"`
-	Jobs           int                           `json:"jobs"`
-	InTime         int                           `json:"in_time"`
-	Late           int                           `json:"late"`
-	TooLate        int                           `json:"too_late"`
-	Failed         int                           `json:"failed"`
-	Worth          float64                       `json:"worth_in_time"`
-	Wide           float64                       `json:"widest_tenth_in_time"`
-	Queues         map[mothferry.QueueID]float64 `json:"queues_in_time"`
-	MachineSeconds float64                       `json:"machine_seconds"`
-	Moves          int                           `json:"moves"`
-	Starts         int                           `json:"starts"`
-	Stops          int                           `json:"stops"`
-	Looks          int                           `json:"looks"`
-	Commits        int                           `json:"commits"`
-	Crashes        int                           `json:"crashes"`
-	Blameless      int                           `json:"blameless"`
-	Broken         int                           `json:"broken"`
+// playResult is one play in the command's JSON.
+type playResult struct {
+	Seed               uint64                        `json:"seed"`
+	Jobs               int                           `json:"jobs"`
+	OnTime             int                           `json:"in_time"`
+	Late               int                           `json:"late"`
+	TooLate            int                           `json:"too_late"`
+	Failed             int                           `json:"failed"`
+	WeightedOnTime     float64                       `json:"worth_in_time"`
+	LargestTenthOnTime float64                       `json:"widest_tenth_in_time"`
+	QueuesOnTime       map[mothferry.QueueID]float64 `json:"queues_in_time"`
+	MachineSeconds     float64                       `json:"machine_seconds"`
+	Moves              int                           `json:"moves"`
+	Starts             int                           `json:"starts"`
+	Stops              int                           `json:"stops"`
+	Polls              int                           `json:"looks"`
+	Commits            int                           `json:"commits"`
+	Crashes            int                           `json:"crashes"`
+	UnrelatedFailures  int                           `json:"blameless"`
+	Violations         int                           `json:"broken"`
 	// Accounts holds the client accounts whose callers asked hosts.
 	Accounts map[mothferry.AccountID]playAccount `json:"accounts,omitempty"`
 }
 
 // playAccount is what came of an account's jobs.
 type playAccount struct {
-	Jobs       int `json:"jobs"`
-	Accepted   int `json:"accepted"`
-	InTime     int `json:"in_time"`
-	Useless    int `json:"useless"`
-	Refused    int `json:"refused"`
-	Refusals   int `json:"refusals"`
-	BesideRoom int `json:"refusals_beside_room"`
+	Jobs                int `json:"jobs"`
+	Accepted            int `json:"accepted"`
+	OnTime              int `json:"in_time"`
+	TooLateOrFailed     int `json:"useless"`
+	Refused             int `json:"refused"`
+	Refusals            int `json:"refusals"`
+	RefusedWithCapacity int `json:"refusals_beside_room"`
 }
 
 func printPlay(e *Environment, output string, seed uint64, f mfemulate.Figures, asked map[mothferry.AccountID]mfemulate.Asked) error {
-	p := playFigures{
-		Seed: seed, Jobs: f.Jobs, InTime: f.InTime, Late: f.Late, TooLate: f.TooLate, Failed: f.Failed, Worth: f.Worth, Wide: f.Wide, Queues: f.Queues,
-		MachineSeconds: f.MachineSeconds, Moves: f.Moves, Starts: f.Starts, Stops: f.Stops, Looks: f.Looks, Commits: f.Commits,
-		Crashes: f.Crashes, Blameless: f.Blameless, Broken: f.Broken,
+	p := playResult{
+		Seed: seed, Jobs: f.Jobs, OnTime: f.InTime, Late: f.Late, TooLate: f.TooLate, Failed: f.Failed, WeightedOnTime: f.Worth, LargestTenthOnTime: f.Wide, QueuesOnTime: f.Queues,
+		MachineSeconds: f.MachineSeconds, Moves: f.Moves, Starts: f.Starts, Stops: f.Stops, Polls: f.Looks, Commits: f.Commits,
+		Crashes: f.Crashes, UnrelatedFailures: f.Blameless, Violations: f.Broken,
 	}
 	if output == outputJSON {
 		p.Accounts = map[mothferry.AccountID]playAccount{}
@@ -105,8 +105,8 @@
 		"  worth in time %.3f, of the widest tenth %.3f, of the worst queue's jobs %.3f\n"+
 		"  %.0f machine-seconds in pools, %d moves; %d starts, %d stops, %d looks, %d commits\n"+
 		"  %d workers ended by tasks, %d jobs failed that have no such task, %d rules broken\n",
-		p.Seed, p.Jobs, p.InTime, p.Late, p.TooLate, p.Failed, p.Worth, p.Wide, worst(p.Queues), p.MachineSeconds, p.Moves, p.Starts, p.Stops, p.Looks, p.Commits,
-		p.Crashes, p.Blameless, p.Broken)
+		p.Seed, p.Jobs, p.OnTime, p.Late, p.TooLate, p.Failed, p.WeightedOnTime, p.LargestTenthOnTime, minFraction(p.QueuesOnTime), p.MachineSeconds, p.Moves, p.Starts, p.Stops, p.Polls, p.Commits,
+		p.Crashes, p.UnrelatedFailures, p.Violations)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// worst returns the smallest of the queues' parts in time, 1 without any.
-func worst(queues map[mothferry.QueueID]float64) float64 {
+// minFraction returns the smallest of the queues' parts in time, 1 without any.
+func minFraction(queues map[mothferry.QueueID]float64) float64 {
 	least := 1.0
 	for _, part := range queues {
 		least = min(least, part)
--- a/mfcommand/shard.go
+++ b/mfcommand/shard.go
@@ -56,39 +56,39 @@
 	}
 }
 
-// shardFigures is the shard in the command's JSON.
-type shardFigures struct {
-	Owner   mothferry.DaemonID            `json:"owner"`
-	Epoch   mothferry.Epoch               `json:"epoch"`
-	Version mothferry.Version             `json:"version"`
-	Cores   mothferry.Millicores          `json:"millicores"`
-	Counted bool                          `json:"counted"`
-	Pending map[mothferry.QueueID]int     `json:"pending"`
-	WaitMs  map[mothferry.ServiceID]int64 `json:"wait_ms"`
-	// AskedMs is how long before the row was written machines were asked for.
-	AskedMs map[mothferry.MachineID]int64 `json:"machines_asked_ms"`
-	Waves   []shardWave                   `json:"waves"`
+// shardResult is the shard in the command's JSON.
+type shardResult struct {
+	Owner        mothferry.DaemonID            `json:"owner"`
+	Epoch        mothferry.Epoch               `json:"epoch"`
+	Version      mothferry.Version             `json:"version"`
+	Cores        mothferry.Millicores          `json:"millicores"`
+	PendingKnown bool                          `json:"counted"`
+	Pending      map[mothferry.QueueID]int     `json:"pending"`
+	WaitMs       map[mothferry.ServiceID]int64 `json:"wait_ms"`
+	// RequestedMs is how long before the row was written machines were asked for.
+	RequestedMs map[mothferry.MachineID]int64 `json:"machines_asked_ms"`
+	Waves       []shardWave                   `json:"waves"`
 }
 
 type shardWave struct {
-	Wave  mothferry.WaveID      `json:"wave"`
-	Begun time.Time             `json:"begun"`
-	Done  []mothferry.MachineID `json:"machines_done"`
+	Wave      mothferry.WaveID      `json:"wave"`
+	StartedAt time.Time             `json:"begun"`
+	Done      []mothferry.MachineID `json:"machines_done"`
 }
 
 func printShard(e *Environment, output string, s mfowner.Status) error {
-	f := shardFigures{
-		Owner: s.Head.Holder, Epoch: s.Head.Epoch, Version: s.Version, Cores: s.Head.Cores, Counted: s.Head.PendingKnown, Pending: s.Head.Pending,
-		WaitMs: map[mothferry.ServiceID]int64{}, AskedMs: map[mothferry.MachineID]int64{}, Waves: []shardWave{},
+	f := shardResult{
+		Owner: s.Head.Holder, Epoch: s.Head.Epoch, Version: s.Version, Cores: s.Head.Cores, PendingKnown: s.Head.PendingKnown, Pending: s.Head.Pending,
+		WaitMs: map[mothferry.ServiceID]int64{}, RequestedMs: map[mothferry.MachineID]int64{}, Waves: []shardWave{},
 	}
 	for service, wait := range s.Head.EstimatedWaits {
 		f.WaitMs[service] = wait.Milliseconds()
 	}
 	for machine, ago := range s.Head.CallAges {
-		f.AskedMs[machine] = ago.Milliseconds()
+		f.RequestedMs[machine] = ago.Milliseconds()
 	}
 	for _, w := range s.Waves {
-		f.Waves = append(f.Waves, shardWave{Wave: w.Wave, Begun: w.Begun, Done: w.Done})
+		f.Waves = append(f.Waves, shardWave{Wave: w.Wave, StartedAt: w.Begun, Done: w.Done})
 	}
 	if output == outputJSON {
 		return trace.Wrap(json.NewEncoder(e.Out).Encode(f))
@@ -96,7 +96,7 @@
 	return printShardText(e, f)
 }
 
-func printShardText(e *Environment, f shardFigures) error {
+func printShardText(e *Environment, f shardResult) error {
 	owner := string(f.Owner)
 	switch {
 	case f.Version == 0:
@@ -107,18 +107,18 @@
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "owner\t%s\nepoch\t%d\nversion\t%d\nmillicores\t%d\n", owner, f.Epoch, f.Version, f.Cores)
 	pending := "not counted yet"
-	if f.Counted {
-		pending = listed(f.Pending)
+	if f.PendingKnown {
+		pending = formatMap(f.Pending)
 	}
-	fmt.Fprintf(w, "jobs not begun\t%s\nwait, ms\t%s\nmachines asked for, ms before\t%s\n", pending, listed(f.WaitMs), listed(f.AskedMs))
+	fmt.Fprintf(w, "jobs not begun\t%s\nwait, ms\t%s\nmachines asked for, ms before\t%s\n", pending, formatMap(f.WaitMs), formatMap(f.RequestedMs))
 	for _, wave := range f.Waves {
-		fmt.Fprintf(w, "wave %d\tbegun %s, %d machines done\n", wave.Wave, wave.Begun.UTC().Format(time.RFC3339), len(wave.Done))
+		fmt.Fprintf(w, "wave %d\tbegun %s, %d machines done\n", wave.Wave, wave.StartedAt.UTC().Format(time.RFC3339), len(wave.Done))
 	}
 	return trace.Wrap(w.Flush())
 }
 
-// listed writes a map in the order of its keys.
-func listed[K ~string, V int | int64](m map[K]V) string {
+// formatMap writes a map in the order of its keys.
+func formatMap[K ~string, V int | int64](m map[K]V) string {
 	if len(m) == 0 {
 		return "none"
 	}
--- a/mfcommand/shard_test.go
+++ b/mfcommand/shard_test.go
@@ -13,7 +13,7 @@
 	"mothferry/mfrecord"
 )
 
-func TestShardIsPrinted(t *testing.T) {
+func TestPrintShard(t *testing.T) {
 	status := mfowner.Status{
 		Version: 9, Head: mfrecord.Head{
 			Holder: "h-1", Epoch: 3, PendingKnown: true, Pending: map[mothferry.QueueID]int{"b": 2, "a": 1},
