--- a/mfcontrol/control.go
+++ b/mfcontrol/control.go
@@ -38,20 +38,20 @@
 	PushPlacement(ctx context.Context, p mfplacement.Record)
 }
 
-// Node tells what this daemon itself has in force and in flight.
-type Node interface {
+// StatusSource tells what this daemon itself has in force and in flight.
+type StatusSource interface {
 	Status() mfpeer.Status
 }
 
-// ErrLapsed reports that the lease of a shard lapsed before an act. What was
+// ErrLeaseExpired reports that the lease of a shard lapsed before an act. What was
 // planned is given up: acting on it later, after the lease was renewed, would
 // start tasks that no published placement holds.
-type ErrLapsed struct {
+type ErrLeaseExpired struct {
 	Fence mothferry.Fence
 }
 
 // Error implements error.
-func (e *ErrLapsed) Error() string {
+func (e *ErrLeaseExpired) Error() string {
 	return fmt.Sprintf("lease of shard %s lapsed in epoch %d", e.Fence.Shard, e.Fence.Epoch)
 }
 
@@ -66,25 +66,25 @@
 	Notice time.Duration
 	Leases Leases
 	Peers  Peers
-	Self   Node
+	Self   StatusSource
 	Store  *mfsnapshot.Store
 	Log    *log.Entry
 
 	// Only Run uses the fields below.
-	shards map[mothferry.PoolID]*known
+	shards map[mothferry.PoolID]*shardState
 	// hosts are the rows of this data centre's hosts as of hostsVersion.
 	hosts        []hostRow
 	hostsVersion mothferry.Version
 	hostsLoaded  bool
-	// listed is the platform's host list, and listedAt when it was read.
-	listed   map[mothferry.HostID]mothferry.HostState
-	listedAt time.Time
-	failures mflog.Episode
+	// hostList is the platform's host list, and listedAt when it was read.
+	hostList       map[mothferry.HostID]mothferry.HostState
+	hostListReadAt time.Time
+	failures       mflog.Episode
 }
 
 // Run plans and acts until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	c.shards = map[mothferry.PoolID]*known{}
+	c.shards = map[mothferry.PoolID]*shardState{}
 	c.failures = mflog.Episode{Log: c.Log}
 	for {
 		if holdings := c.Leases.Holdings(); len(holdings) > 0 {
@@ -105,24 +105,24 @@
 	c.failures.Succeeded("Hosts can be read again.")
 	now := c.Clock.Now()
 	for _, h := range holdings {
-		k := c.remembered(h)
-		if now.Before(k.due) && k.revision == c.Store.Current().Revision && k.hostsVersion == c.hostsVersion {
+		k := c.stateOf(h)
+		if now.Before(k.nextPlan) && k.revision == c.Store.Current().Revision && k.hostsVersion == c.hostsVersion {
 			continue
 		}
-		if err := c.refreshList(ctx, now); err != nil {
+		if err := c.refreshHostList(ctx, now); err != nil {
 			c.Log.WithError(err).Warn("Host list could not be read.")
 			return
 		}
-		if err := c.step(ctx, h, k); err != nil && ctx.Err() == nil {
-			k.forget()
+		if err := c.planShard(ctx, h, k); err != nil && ctx.Err() == nil {
+			k.invalidate()
 			c.Log.WithField("shard", h.Fence.Shard).WithError(err).Warn("Shard could not be brought up to its documents.")
 		}
 	}
 }
 
-// Wanted returns the pools of this data centre that documents name or
+// WantedPools returns the pools of this data centre that documents name or
 // placements still use.
-func (c *Controller) Wanted() []mothferry.PoolID {
+func (c *Controller) WantedPools() []mothferry.PoolID {
 	current := c.Store.Current()
 	var pools []mothferry.PoolID
 	for _, r := range current.Documents {
@@ -137,9 +137,9 @@
 	return slices.Compact(pools)
 }
 
-// step brings one shard one plan further.
-func (c *Controller) step(ctx context.Context, h mflease.Holding, k *known) error {
-	if err := c.load(ctx, k); err != nil {
+// planShard brings one shard one plan further.
+func (c *Controller) planShard(ctx context.Context, h mflease.Holding, k *shardState) error {
+	if err := c.loadPlacement(ctx, k); err != nil {
 		return err
 	}
 	snapshot := c.Store.Current()
@@ -150,7 +150,7 @@
 		return nil
 	}
 	k.revision, k.hostsVersion = snapshot.Revision, c.hostsVersion
-	in, err := c.read(ctx, k, snapshot)
+	in, err := c.planInput(ctx, k, snapshot)
 	if err != nil {
 		return err
 	}
@@ -163,18 +163,18 @@
 	for service, n := range out.Unplaced {
 		c.Log.WithField("service", service).WithField("runners", n).WithField("shard", h.Fence.Shard).Warn("No host has room.")
 	}
-	k.schedule(c.Clock.Now(), c.Interval, settled(out) && !moving(in.Hosts))
-	if err := c.act(ctx, h.Fence, out); err != nil {
+	k.schedule(c.Clock.Now(), c.Interval, settled(out) && !anyMoving(in.Hosts))
+	if err := c.sendOrders(ctx, h.Fence, out); err != nil {
 		return err
 	}
-	return c.releaseEmpty(ctx, h, in.Hosts, out)
+	return c.releaseEmptyHosts(ctx, h, in.Hosts, out)
 }
 
-// read gathers what a plan depends on. The hosts and the placement come from
+// planInput gathers what a plan depends on. The hosts and the placement come from
 // what is remembered, see known.
-func (c *Controller) read(ctx context.Context, k *known, snapshot *mfsnapshot.Snapshot) (mfplace.Input, error) {
+func (c *Controller) planInput(ctx context.Context, k *shardState, snapshot *mfsnapshot.Snapshot) (mfplace.Input, error) {
 	shard := k.fence.Shard
-	in := mfplace.Input{Shard: shard, Epoch: k.fence.Epoch, Quiet: c.quiet, Previous: k.placement, Revision: snapshot.Revision}
+	in := mfplace.Input{Shard: shard, Epoch: k.fence.Epoch, Quiet: c.quiesced, Previous: k.placement, Revision: snapshot.Revision}
 	reports, err := c.reports(ctx, shard)
 	if err != nil {
 		return in, err
@@ -182,7 +182,7 @@
 	for _, h := range c.hosts {
 		if h.record.Pool == shard.Pool {
 			tasks, reported := reports[h.record.Host]
-			in.Hosts = append(in.Hosts, mfplace.Host{Record: h.record, Listed: c.listed[h.record.Host], Reported: reported, Tasks: tasks})
+			in.Hosts = append(in.Hosts, mfplace.Host{Record: h.record, Listed: c.hostList[h.record.Host], Reported: reported, Tasks: tasks})
 		}
 	}
 	in.Documents = documentsOf(snapshot, shard)
@@ -229,13 +229,13 @@
 }
 
 // publish writes a placement, fenced by the shard's row, and passes it on.
-func (c *Controller) publish(ctx context.Context, h mflease.Holding, p mfplacement.Record, k *known) error {
+func (c *Controller) publish(ctx context.Context, h mflease.Holding, p mfplacement.Record, k *shardState) error {
 	data, err := p.Encode()
 	if err != nil {
 		return err
 	}
 	if !c.Leases.Valid(h.Fence) {
-		return trace.Wrap(&ErrLapsed{Fence: h.Fence})
+		return trace.Wrap(&ErrLeaseExpired{Fence: h.Fence})
 	}
 	key := mfplacement.Key(h.Fence.Shard)
 	generation := []byte(strconv.FormatUint(uint64(p.Generation), 10))
@@ -263,15 +263,15 @@
 	return nil
 }
 
-// act asks the workers for what the plan says. Each request carries the
+// sendOrders asks the workers for what the plan says. Each request carries the
 // epoch; a worker that has seen a later one refuses.
-func (c *Controller) act(ctx context.Context, f mothferry.Fence, out mfplace.Output) error {
+func (c *Controller) sendOrders(ctx context.Context, f mothferry.Fence, out mfplace.Output) error {
 	for _, s := range out.Starts {
 		if !c.Leases.Valid(f) {
 			return nil
 		}
 		if err := c.Platform.Workers.Start(ctx, s.Host, f, s.Task); err != nil {
-			return c.acted(f, err)
+			return c.checkFenced(f, err)
 		}
 	}
 	for _, s := range out.Stops {
@@ -279,13 +279,13 @@
 			return nil
 		}
 		if err := c.Platform.Workers.Stop(ctx, s.Host, f, s.Task); err != nil {
-			return c.acted(f, err)
+			return c.checkFenced(f, err)
 		}
 	}
 	return nil
 }
 
-func (c *Controller) acted(f mothferry.Fence, err error) error {
+func (c *Controller) checkFenced(f mothferry.Fence, err error) error {
 	var fenced *mothferry.ErrFenced
 	if errors.As(err, &fenced) {
 		c.Leases.Lost(f)
@@ -293,13 +293,13 @@
 	return trace.Wrap(err)
 }
 
-// quiet reports whether every entry host of the data centre has a leaving
+// quiesced reports whether every entry host of the data centre has a leaving
 // runner's state in force and nothing in flight at the shard's leaving
 // runners. A host not heard for the notice and the service's deadline has
 // nothing in flight any more that it could still bring to an end.
-func (c *Controller) quiet(r mfplacement.Runner) bool {
+func (c *Controller) quiesced(r mfplacement.Runner) bool {
 	pool := c.poolOf(r.Task)
-	if !done(c.Self.Status(), pool, r.LeavingSince) {
+	if !quiescedIn(c.Self.Status(), pool, r.LeavingSince) {
 		return false
 	}
 	document, _ := c.Store.Current().Document(r.Service)
@@ -309,14 +309,14 @@
 		if s.Peer.DataCentre != c.DataCentre || s.Heard.IsZero() || now.Sub(s.Heard) > bound {
 			continue
 		}
-		if !done(s.Status, pool, r.LeavingSince) {
+		if !quiescedIn(s.Status, pool, r.LeavingSince) {
 			return false
 		}
 	}
 	return true
 }
 
-func done(s mfpeer.Status, pool mothferry.PoolID, since mothferry.Generation) bool {
+func quiescedIn(s mfpeer.Status, pool mothferry.PoolID, since mothferry.Generation) bool {
 	shard := s.Shards[pool]
 	return shard.Generation >= since && shard.InFlightLeaving == 0
 }
--- a/mfcontrol/control_test.go
+++ b/mfcontrol/control_test.go
@@ -20,49 +20,49 @@
 
 var shard = mothferry.Shard{DataCentre: "dc1", Pool: "p"}
 
-// leases holds one shard as long as it is told to.
-type leases struct{ valid bool }
+// fakeLeases holds one shard as long as it is told to.
+type fakeLeases struct{ valid bool }
 
-func (l *leases) holding() mflease.Holding {
+func (l *fakeLeases) holding() mflease.Holding {
 	return mflease.Holding{Fence: mothferry.Fence{Shard: shard, Epoch: 1}, Check: mothferry.Check{Key: mflease.ShardKey(shard)}}
 }
-func (l *leases) Holdings() []mflease.Holding { return []mflease.Holding{l.holding()} }
-func (l *leases) Valid(mothferry.Fence) bool  { return l.valid }
-func (l *leases) Lost(mothferry.Fence)        { l.valid = false }
+func (l *fakeLeases) Holdings() []mflease.Holding { return []mflease.Holding{l.holding()} }
+func (l *fakeLeases) Valid(mothferry.Fence) bool  { return l.valid }
+func (l *fakeLeases) Lost(mothferry.Fence)        { l.valid = false }
 
-// alone is a mesh without peers.
-type alone struct{}
+// noPeers is a mesh without peers.
+type noPeers struct{}
 
-func (alone) States() []mfpeer.State                            { return nil }
-func (alone) PushPlacement(context.Context, mfplacement.Record) {}
-func (alone) Status() mfpeer.Status                             { return mfpeer.Status{} }
+func (noPeers) States() []mfpeer.State                            { return nil }
+func (noPeers) PushPlacement(context.Context, mfplacement.Record) {}
+func (noPeers) Status() mfpeer.Status                             { return mfpeer.Status{} }
 
-// controller returns a controller over a stand-in with two hosts.
-func controller(t *testing.T) (*Controller, *leases) {
+// newController returns a controller over a stand-in with two hosts.
+func newController(t *testing.T) (*Controller, *fakeLeases) {
 	t.Helper()
 	standin, err := mfstandin.New(mfclock.System{}, mfstandin.Fleet{
 		DataCentres: []mothferry.DataCentre{"dc1"}, Pools: []mothferry.PoolID{"p"}, HostsPerPool: 2, HostsPerRack: 1,
 		Capacity: mothferry.Resources{Cores: 8000, Memory: 8 * mothferry.Gibibyte},
 	})
 	assert.NilError(t, err)
-	held := &leases{valid: true}
+	held := &fakeLeases{valid: true}
 	return &Controller{
-		DataCentre: "dc1", Clock: mfclock.System{}, Interval: time.Millisecond, Leases: held, Peers: alone{}, Self: alone{},
+		DataCentre: "dc1", Clock: mfclock.System{}, Interval: time.Millisecond, Leases: held, Peers: noPeers{}, Self: noPeers{},
 		Platform: mothferry.Platform{Table: standin.Table, Hosts: standin.Workers, Workers: standin.Workers, Pools: standin.Workers},
-		Store:    mfsnapshot.NewStore(), Log: mflog.Discard(), shards: map[mothferry.PoolID]*known{},
+		Store:    mfsnapshot.NewStore(), Log: mflog.Discard(), shards: map[mothferry.PoolID]*shardState{},
 	}, held
 }
 
-// document puts a document in force that asks for runners in the shard.
-func document(c *Controller, runners int, revision mothferry.Revision) {
+// putDocument puts a document in force that asks for runners in the shard.
+func putDocument(c *Controller, runners int, revision mothferry.Revision) {
 	d := mfdocument.Default()
 	d.Service, d.Runners = "s", runners
 	d.Place = mfdocument.Place{DataCentres: []mothferry.DataCentre{"dc1"}, Pools: []mothferry.PoolID{"p"}}
 	c.Store.AdoptDelta(mfsnapshot.Delta{Revision: revision, Records: []mfdocument.Record{{Document: d, Revision: revision}}})
 }
 
-// stored returns the shard's placement as the table holds it.
-func stored(t *testing.T, c *Controller) mfplacement.Record {
+// storedPlacement returns the shard's placement as the table holds it.
+func storedPlacement(t *testing.T, c *Controller) mfplacement.Record {
 	t.Helper()
 	rows, err := c.Platform.Table.Read(t.Context(), mothferry.Query{Keys: []mothferry.Key{mfplacement.Key(shard)}})
 	assert.NilError(t, err)
@@ -74,38 +74,38 @@
 	return record
 }
 
-// TestOldDocumentsPlanNothing: symptom, a service loses its runners when a
+// TestStaleDocumentsPlanNothing: symptom, a service loses its runners when a
 // shard changes hands. Sequence: the new holder has not heard of the latest
 // documents, or has none yet, and plans by what it has. Cause: a plan that does
 // not know by which documents the last one was made.
-func TestOldDocumentsPlanNothing(t *testing.T) {
-	c, held := controller(t)
-	document(c, 4, 5)
+func TestStaleDocumentsPlanNothing(t *testing.T) {
+	c, held := newController(t)
+	putDocument(c, 4, 5)
 	c.round(t.Context(), held.Holdings())
-	before := stored(t, c)
+	before := storedPlacement(t, c)
 	assert.Equal(t, len(before.Runners), 4)
 	for _, revision := range []mothferry.Revision{0, 3} {
-		c.Store, c.shards = mfsnapshot.NewStore(), map[mothferry.PoolID]*known{}
+		c.Store, c.shards = mfsnapshot.NewStore(), map[mothferry.PoolID]*shardState{}
 		if revision > 0 {
-			document(c, 0, revision)
+			putDocument(c, 0, revision)
 		}
 		c.round(t.Context(), held.Holdings())
-		assert.DeepEqual(t, stored(t, c), before)
+		assert.DeepEqual(t, storedPlacement(t, c), before)
 	}
-	c.Store, c.shards = mfsnapshot.NewStore(), map[mothferry.PoolID]*known{}
-	document(c, 1, 6)
+	c.Store, c.shards = mfsnapshot.NewStore(), map[mothferry.PoolID]*shardState{}
+	putDocument(c, 1, 6)
 	c.round(t.Context(), held.Holdings())
-	assert.Assert(t, stored(t, c).Generation > before.Generation)
+	assert.Assert(t, storedPlacement(t, c).Generation > before.Generation)
 }
 
-// TestLapsedLeaseStartsNothing: a holder whose lease lapsed publishes nothing
+// TestExpiredLeaseStartsNothing: a holder whose lease lapsed publishes nothing
 // and starts nothing.
-func TestLapsedLeaseStartsNothing(t *testing.T) {
-	c, held := controller(t)
-	document(c, 4, 5)
+func TestExpiredLeaseStartsNothing(t *testing.T) {
+	c, held := newController(t)
+	putDocument(c, 4, 5)
 	held.valid = false
 	c.round(t.Context(), held.Holdings())
-	assert.Equal(t, len(stored(t, c).Runners), 0)
+	assert.Equal(t, len(storedPlacement(t, c).Runners), 0)
 	reports, err := c.Platform.Workers.Reports(t.Context(), "dc1", []mothferry.HostID{"dc1-p-000", "dc1-p-001"})
 	assert.NilError(t, err)
 	for _, r := range reports {
--- a/mfcontrol/known.go
+++ b/mfcontrol/known.go
@@ -13,19 +13,19 @@
 	"mothferry/mfplacement"
 )
 
-// idleFactor is how many times the interval a shard waits at the most while
+// maxIdleFactor is how many times the interval a shard waits at the most while
 // nothing happens there. It bounds how late the death of a worker is noticed;
 // requests are led around dead runners long before by the daemons themselves.
-const idleFactor = 8
+const maxIdleFactor = 8
 
-// listFactor is how many intervals the host list is kept for.
-const listFactor = 4
+// hostListIntervals is how many intervals the host list is kept for.
+const hostListIntervals = 4
 
-// known is what a holder remembers of a shard. Only the holder writes the
+// shardState is what a holder remembers of a shard. Only the holder writes the
 // placement, checked by the shard's row, so what it last wrote is what the row
 // holds; reading it back with each plan would cost the platform's bytes for
 // nothing. A new epoch or any error forgets it.
-type known struct {
+type shardState struct {
 	fence     mothferry.Fence
 	loaded    bool
 	placement mfplacement.Record
@@ -33,35 +33,35 @@
 	// revision and hostsVersion are what the last plan took into account.
 	revision     mothferry.Revision
 	hostsVersion mothferry.Version
-	// due is when the next plan is made, and wait the time between the last two.
-	due  time.Time
-	wait time.Duration
+	// nextPlan is when the next plan is made, and wait the time between the last two.
+	nextPlan     time.Time
+	planInterval time.Duration
 }
 
-// remembered returns what is known of a held shard, nothing for a new epoch.
-func (c *Controller) remembered(h mflease.Holding) *known {
+// stateOf returns what is known of a held shard, nothing for a new epoch.
+func (c *Controller) stateOf(h mflease.Holding) *shardState {
 	k, ok := c.shards[h.Fence.Shard.Pool]
 	if !ok || k.fence != h.Fence {
-		k = &known{fence: h.Fence}
+		k = &shardState{fence: h.Fence}
 		c.shards[h.Fence.Shard.Pool] = k
 	}
 	return k
 }
 
-// forget makes the next plan read everything anew, at the next round.
-func (k *known) forget() {
-	k.loaded, k.due, k.wait = false, time.Time{}, 0
+// invalidate makes the next plan read everything anew, at the next round.
+func (k *shardState) invalidate() {
+	k.loaded, k.nextPlan, k.planInterval = false, time.Time{}, 0
 }
 
 // schedule sets when the next plan is made: soon while something is under
 // way, later and later while nothing is.
-func (k *known) schedule(now time.Time, interval time.Duration, settled bool) {
-	k.wait = min(2*k.wait, idleFactor*interval)
-	if !settled || k.wait == 0 {
-		k.wait = interval
+func (k *shardState) schedule(now time.Time, interval time.Duration, settled bool) {
+	k.planInterval = min(2*k.planInterval, maxIdleFactor*interval)
+	if !settled || k.planInterval == 0 {
+		k.planInterval = interval
 	}
 	// Half an interval is taken off, as rounds are never exactly on time.
-	k.due = now.Add(k.wait - interval/2)
+	k.nextPlan = now.Add(k.planInterval - interval/2)
 }
 
 // settled reports whether a plan left nothing to wait for.
@@ -77,8 +77,8 @@
 	return true
 }
 
-// load reads the shard's placement unless it is remembered.
-func (c *Controller) load(ctx context.Context, k *known) error {
+// loadPlacement reads the shard's placement unless it is remembered.
+func (c *Controller) loadPlacement(ctx context.Context, k *shardState) error {
 	if k.loaded {
 		return nil
 	}
@@ -128,20 +128,20 @@
 	return nil
 }
 
-// refreshList reads the platform's host list, one for all shards, unless it
+// refreshHostList reads the platform's host list, one for all shards, unless it
 // was read a moment ago. The list lags by itself; a little more does no harm,
 // and it is as long as the data centre has hosts.
-func (c *Controller) refreshList(ctx context.Context, now time.Time) error {
-	if c.listed != nil && now.Sub(c.listedAt) < listFactor*c.Interval {
+func (c *Controller) refreshHostList(ctx context.Context, now time.Time) error {
+	if c.hostList != nil && now.Sub(c.hostListReadAt) < hostListIntervals*c.Interval {
 		return nil
 	}
 	hosts, err := c.Platform.Hosts.Hosts(ctx, c.DataCentre)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	c.listed, c.listedAt = map[mothferry.HostID]mothferry.HostState{}, now
+	c.hostList, c.hostListReadAt = map[mothferry.HostID]mothferry.HostState{}, now
 	for _, h := range hosts {
-		c.listed[h.Host] = h.State
+		c.hostList[h.Host] = h.State
 	}
 	return nil
 }
--- a/mfcontrol/release.go
+++ b/mfcontrol/release.go
@@ -19,32 +19,32 @@
 	version mothferry.Version
 }
 
-// moving reports whether a host is on its way out of the pool.
-func moving(hosts []mfplace.Host) bool {
+// anyMoving reports whether a host is on its way out of the pool.
+func anyMoving(hosts []mfplace.Host) bool {
 	return slices.ContainsFunc(hosts, func(h mfplace.Host) bool { return h.Record.MoveTo != "" })
 }
 
-// releaseEmpty gives hosts to the pools that they move to, once no runner is
+// releaseEmptyHosts gives hosts to the pools that they move to, once no runner is
 // placed there and the worker reports no task. The transaction checks the
 // shard's row and the host's: neither a holder that was taken over nor one
 // that missed an operator's change can release a host.
-func (c *Controller) releaseEmpty(ctx context.Context, h mflease.Holding, hosts []mfplace.Host, out mfplace.Output) error {
+func (c *Controller) releaseEmptyHosts(ctx context.Context, h mflease.Holding, hosts []mfplace.Host, out mfplace.Output) error {
 	for _, k := range hosts {
-		if k.Record.MoveTo == "" || !k.Reported || len(k.Tasks) > 0 || out.Changed || placedOn(out.Placement, k.Record.Host) {
+		if k.Record.MoveTo == "" || !k.Reported || len(k.Tasks) > 0 || out.Changed || hasRunnerOn(out.Placement, k.Record.Host) {
 			continue
 		}
-		if err := c.release(ctx, h, k.Record); err != nil {
+		if err := c.releaseHost(ctx, h, k.Record); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func placedOn(p mfplacement.Record, host mothferry.HostID) bool {
+func hasRunnerOn(p mfplacement.Record, host mothferry.HostID) bool {
 	return slices.ContainsFunc(p.Runners, func(r mfplacement.Runner) bool { return r.Host == host })
 }
 
-func (c *Controller) release(ctx context.Context, h mflease.Holding, r mfhost.Record) error {
+func (c *Controller) releaseHost(ctx context.Context, h mflease.Holding, r mfhost.Record) error {
 	i := slices.IndexFunc(c.hosts, func(k hostRow) bool { return k.record.Host == r.Host })
 	if i < 0 || !c.Leases.Valid(h.Fence) {
 		return nil
--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -240,7 +240,7 @@
 		DataCentre: s.DataCentre, Platform: d.platform, Clock: d.Clock, Interval: s.Timing.Control, Notice: s.Timing.Notice,
 		Leases: d.keeper, Peers: d.mesh, Self: d.follower, Store: d.store, Log: d.Logs.Part("control"),
 	}
-	d.keeper.Wanted = d.controller.Wanted
+	d.keeper.Wanted = d.controller.WantedPools
 }
 
 func (d *Daemon) buildOperate() {
