--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -40,17 +40,17 @@
 const (
 	// callTimeout bounds one call between peers.
 	callTimeout = 2 * time.Second
-	// liveHeartbeats is how many heartbeats may be missed by a live peer.
-	liveHeartbeats = 4
+	// maxMissedHeartbeats is how many heartbeats may be missed by a live peer.
+	maxMissedHeartbeats = 4
 	// headerTimeout bounds how long a caller may take over its request's header.
 	headerTimeout = 10 * time.Second
 	// idleTimeout is how long a caller's unused connection is kept.
 	idleTimeout = 2 * time.Minute
-	// waitShare is the part of a request's time that it may be expected to wait
+	// queueWaitFraction is the part of a request's time that it may be expected to wait
 	// in the queue, and overloadShare the same under overload; docs/design/routing.md
 	// has the figures behind both.
-	waitShare     = 0.12
-	overloadShare = 0.035
+	queueWaitFraction    = 0.12
+	overloadWaitFraction = 0.035
 	// platformConnections bounds the unused connections to the platform that are kept.
 	platformConnections = 16
 	// stopGrace is added to the longest deadline in force when a daemon stops.
@@ -97,7 +97,7 @@
 	d.done = make(chan struct{})
 	defer close(d.done)
 	d.log = d.Logs.Part("daemon")
-	if err := d.listen(); err != nil {
+	if err := d.openListeners(); err != nil {
 		return err
 	}
 	d.build()
@@ -129,7 +129,7 @@
 	return d.entry.InFlight()
 }
 
-func (d *Daemon) listen() error {
+func (d *Daemon) openListeners() error {
 	for _, k := range []struct {
 		listener *net.Listener
 		address  string
@@ -161,7 +161,7 @@
 	d.buildState()
 	d.buildEntry()
 	d.buildControl()
-	d.buildOperate()
+	d.buildOperators()
 	d.mesh.Spill = d.entry
 	d.mesh.Prepare()
 	d.router.Prepare()
@@ -191,7 +191,7 @@
 	d.router = &mfroute.Router{
 		Self: s.Daemon, DataCentre: s.DataCentre, Clock: d.Clock, Random: d.Random,
 		Limits: mfroute.Limits{
-			Queue: s.Limits.Queue, WaitShare: waitShare, OverloadShare: overloadShare, EjectShare: s.Limits.EjectShare,
+			Queue: s.Limits.Queue, WaitShare: queueWaitFraction, OverloadShare: overloadWaitFraction, EjectShare: s.Limits.EjectShare,
 			RetryRatio: s.Limits.RetryRatio, Borrow: true,
 		},
 		Store: d.store, Peers: d.mesh, EntryHosts: s.EntryHosts(), Heartbeat: s.Timing.Heartbeat,
@@ -206,7 +206,7 @@
 		Cores:       d.usage.Share,
 		Revision:    func() float64 { return float64(d.store.Current().Revision) },
 		InFlight:    func() float64 { return float64(d.entry.InFlight()) },
-		Peers:       func() float64 { return float64(len(d.mesh.Live(d.peerBound()))) },
+		Peers:       func() float64 { return float64(len(d.mesh.Live(d.peerTimeout()))) },
 		Holdings:    func() float64 { return float64(len(d.keeper.Holdings())) },
 		PeerTraffic: &d.mesh.Traffic, PlatformTraffic: &d.traffic,
 	})
@@ -215,7 +215,7 @@
 		Transports: &mfentry.Transports{Connect: s.Timing.Connect, HeaderBytes: int64(s.Limits.HeaderBytes)},
 		Clock:      d.Clock, Random: d.Random, Observer: d.metrics, Log: d.Logs.Part("entry"), NewToken: NewToken,
 		BufferBytes: s.Limits.BufferBytes, BodyBytes: s.Limits.BodyBytes,
-		EntryHosts: len(s.EntryHosts()), PeerBound: d.peerBound(), Confirmed: d.follower.Confirmed, Notice: s.Timing.Notice,
+		EntryHosts: len(s.EntryHosts()), PeerBound: d.peerTimeout(), Confirmed: d.follower.Confirmed, Notice: s.Timing.Notice,
 	}
 	d.follower.SetOffers(d.router)
 	mux := http.NewServeMux()
@@ -234,7 +234,7 @@
 	s := d.Settings
 	d.keeper = &mflease.Keeper{
 		Self: s.Daemon, DataCentre: s.DataCentre, Table: d.platform.Table, Clock: d.Clock, Lease: s.Timing.Lease,
-		Live: d.liveHere, NewToken: NewToken, Log: d.Logs.Part("lease"),
+		Live: d.liveInDataCentre, NewToken: NewToken, Log: d.Logs.Part("lease"),
 	}
 	d.controller = &mfcontrol.Controller{
 		DataCentre: s.DataCentre, Platform: d.platform, Clock: d.Clock, Interval: s.Timing.Control, Notice: s.Timing.Notice,
@@ -243,23 +243,25 @@
 	d.keeper.Wanted = d.controller.WantedPools
 }
 
-func (d *Daemon) buildOperate() {
+func (d *Daemon) buildOperators() {
 	s := d.Settings
 	d.operate = &mfoperate.Handler{
 		Daemon: s.Daemon, DataCentre: s.DataCentre, Store: d.store,
 		Accepter: &mfchange.Accepter{Table: d.platform.Table, Clock: d.Clock},
-		Follower: d.follower, Mesh: d.mesh, Leases: d.keeper, Hosts: &mfhost.Changer{Table: d.platform.Table}, Clock: d.Clock, PeerBound: d.peerBound(), Ready: d.ready,
+		Follower: d.follower, Mesh: d.mesh, Leases: d.keeper, Hosts: &mfhost.Changer{Table: d.platform.Table}, Clock: d.Clock, PeerBound: d.peerTimeout(), Ready: d.ready,
 		Metrics: promhttp.HandlerFor(d.metrics.Registry, promhttp.HandlerOpts{}), Log: d.Logs.Part("operate"),
 	}
 	d.operators = &http.Server{Handler: d.operate.Mux(), ReadHeaderTimeout: headerTimeout}
 }
 
-func (d *Daemon) peerBound() time.Duration { return liveHeartbeats * d.Settings.Timing.Heartbeat }
+func (d *Daemon) peerTimeout() time.Duration {
+	return maxMissedHeartbeats * d.Settings.Timing.Heartbeat
+}
 
-// liveHere returns the live daemons of this data centre, this one included.
-func (d *Daemon) liveHere() []mothferry.DaemonID {
+// liveInDataCentre returns the live daemons of this data centre, this one included.
+func (d *Daemon) liveInDataCentre() []mothferry.DaemonID {
 	live := []mothferry.DaemonID{d.Settings.Daemon}
-	for _, s := range d.mesh.Live(d.peerBound()) {
+	for _, s := range d.mesh.Live(d.peerTimeout()) {
 		if s.Peer.DataCentre == d.Settings.DataCentre {
 			live = append(live, s.Peer.Daemon)
 		}
@@ -276,25 +278,25 @@
 // without the others noticing.
 func (d *Daemon) supervise() *suture.Supervisor {
 	state := d.supervisor("state")
-	state.Add(part{"peers", d.mesh.Run})
-	state.Add(part{"config", d.follower.Run})
+	state.Add(component{"peers", d.mesh.Run})
+	state.Add(component{"config", d.follower.Run})
 	operators := d.supervisor("operators")
-	operators.Add(part{"operate", serve(d.operators, d.Operators, d.Settings.Listen.Operators)})
-	operators.Add(part{"usage", d.usage.Run})
+	operators.Add(component{"operate", serve(d.operators, d.Operators, d.Settings.Listen.Operators)})
+	operators.Add(component{"usage", d.usage.Run})
 	root := d.supervisor("mothferry")
 	root.Add(state)
 	root.Add(operators)
 	if d.Settings.Roles.Entry {
 		requests := d.supervisor("requests")
-		requests.Add(part{"route", d.router.Run})
-		requests.Add(part{"ledger", d.ledger.Run})
-		requests.Add(part{"entry", serve(d.callers, d.Callers, d.Settings.Listen.Callers)})
+		requests.Add(component{"route", d.router.Run})
+		requests.Add(component{"ledger", d.ledger.Run})
+		requests.Add(component{"entry", serve(d.callers, d.Callers, d.Settings.Listen.Callers)})
 		root.Add(requests)
 	}
 	if d.Settings.Roles.Control {
 		control := d.supervisor("control")
-		control.Add(part{"lease", d.keeper.Run})
-		control.Add(part{"control", d.controller.Run})
+		control.Add(component{"lease", d.keeper.Run})
+		control.Add(component{"control", d.controller.Run})
 		root.Add(control)
 	}
 	return root
--- a/mfdaemon/part.go
+++ b/mfdaemon/part.go
@@ -9,17 +9,17 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// part is one part of a daemon as its supervisor runs it.
-type part struct {
+// component is one part of a daemon as its supervisor runs it.
+type component struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
 // Serve implements suture.Service.
-func (p part) Serve(ctx context.Context) error { return p.run(ctx) }
+func (p component) Serve(ctx context.Context) error { return p.run(ctx) }
 
 // String names the part in the supervisor's events.
-func (p part) String() string { return p.name }
+func (p component) String() string { return p.name }
 
 // supervisor returns a supervisor that logs what happens to its parts.
 func (d *Daemon) supervisor(name string) *suture.Supervisor {
