--- a/mfdemo/demo.go
+++ b/mfdemo/demo.go
@@ -15,9 +15,9 @@
 
 // Bounds of the demo's waits.
 const (
-	startBound   = 5 * time.Second
-	inForceBound = 4 * time.Second
-	servingBound = 8 * time.Second
+	startTimeout   = 5 * time.Second
+	inForceTimeout = 4 * time.Second
+	servingTimeout = 8 * time.Second
 )
 
 // Demo runs a deployment and prints what it saw.
@@ -29,11 +29,11 @@
 	Serve bool
 }
 
-// finding is one line of the demo's verdict.
-type finding struct {
-	what   string
+// checkResult is one line of the demo's verdict.
+type checkResult struct {
+	name   string
 	detail string
-	held   bool
+	passed bool
 }
 
 // Run runs the demo. It returns an error unless all of it held.
@@ -56,15 +56,15 @@
 	}
 	traffic := newTraffic(deployment)
 	findings = append(findings, traffic.run(ctx)...)
-	jobs, err := d.jobs(ctx)
+	jobs, err := d.runJobs(ctx)
 	if err != nil {
 		return err
 	}
 	findings = append(findings, jobs...)
 	d.print(ctx, deployment, traffic, findings)
 	for _, f := range findings {
-		if !f.held {
-			return trace.Errorf("%s did not hold: %s", f.what, f.detail)
+		if !f.passed {
+			return trace.Errorf("%s did not hold: %s", f.name, f.detail)
 		}
 	}
 	return nil
@@ -72,8 +72,8 @@
 
 // prepare applies the example documents and waits until they are in force
 // everywhere and every runner serves.
-func (d *Demo) prepare(ctx context.Context, k *deployment) ([]finding, error) {
-	err := k.until(ctx, startBound, "every daemon answers", func(ctx context.Context) bool {
+func (d *Demo) prepare(ctx context.Context, k *deployment) ([]checkResult, error) {
+	err := k.waitUntil(ctx, startTimeout, "every daemon answers", func(ctx context.Context) bool {
 		for _, n := range k.nodes {
 			if _, err := n.operator.Status(ctx); err != nil {
 				return false
@@ -97,14 +97,14 @@
 			return nil, err
 		}
 	}
-	if err := k.until(ctx, inForceBound, "documents are in force everywhere", k.inForce(revision)); err != nil {
+	if err := k.waitUntil(ctx, inForceTimeout, "documents are in force everywhere", k.inForce(revision)); err != nil {
 		return nil, err
 	}
 	inForce := d.Clock.Now().Sub(began)
-	if err := k.until(ctx, servingBound, "every runner serves", k.serving); err != nil {
+	if err := k.waitUntil(ctx, servingTimeout, "every runner serves", k.serving); err != nil {
 		return nil, err
 	}
-	return []finding{
+	return []checkResult{
 		{"documents in force everywhere", fmt.Sprintf("%d documents at %d daemons, %d ms", len(documents), len(k.nodes), inForce.Milliseconds()), true},
 		{"every runner placed and serving", fmt.Sprintf("%d ms after the first document", d.Clock.Now().Sub(began).Milliseconds()), true},
 	}, nil
@@ -161,29 +161,29 @@
 	return nil
 }
 
-func (d *Demo) print(ctx context.Context, k *deployment, t *traffic, findings []finding) {
+func (d *Demo) print(ctx context.Context, k *deployment, t *traffic, findings []checkResult) {
 	status, err := k.nodes[0].operator.Status(ctx)
 	if err != nil {
 		fmt.Fprintf(d.Out, "Status cannot be read: %v\n", err)
 		return
 	}
 	fmt.Fprintf(d.Out, "mothferry demo: %d daemons in %d data centres, %d hosts, revision %d in force\n\n",
-		len(k.nodes), centres, centres*hostsPerCentre, status.Revision)
+		len(k.nodes), dataCentres, dataCentres*hostsPerDataCentre, status.Revision)
 	d.printServices(ctx, k, t)
 	fmt.Fprintln(d.Out)
 	for _, f := range findings {
 		mark := "held"
-		if !f.held {
+		if !f.passed {
 			mark = "FAILED"
 		}
-		fmt.Fprintf(d.Out, "%-7s %-38s %s\n", mark, f.what, f.detail)
+		fmt.Fprintf(d.Out, "%-7s %-38s %s\n", mark, f.name, f.detail)
 	}
 }
 
 func (d *Demo) printServices(ctx context.Context, k *deployment, t *traffic) {
-	serving := map[mothferry.ServiceID][centres]int{}
-	for i := range centres {
-		s, err := k.nodes[i*daemonsPerCentre].operator.Status(ctx)
+	serving := map[mothferry.ServiceID][dataCentres]int{}
+	for i := range dataCentres {
+		s, err := k.nodes[i*daemonsPerDataCentre].operator.Status(ctx)
 		if err != nil {
 			continue
 		}
--- a/mfdemo/deployment.go
+++ b/mfdemo/deployment.go
@@ -25,11 +25,11 @@
 
 // Size of the demo's deployment.
 const (
-	centres          = 3
-	daemonsPerCentre = 2
-	hostsPerCentre   = 16
-	hostsPerRack     = 4
-	startDelay       = 20 * time.Millisecond
+	dataCentres          = 3
+	daemonsPerDataCentre = 2
+	hostsPerDataCentre   = 16
+	hostsPerRack         = 4
+	startDelay           = 20 * time.Millisecond
 )
 
 // node is one daemon of the deployment with its addresses.
@@ -56,11 +56,11 @@
 func newDeployment(clock mothferry.Clock, random mothferry.Random) (*deployment, error) {
 	d := &deployment{clock: clock, random: random}
 	var fleet mfstandin.Fleet
-	for i := range centres {
-		fleet.DataCentres = append(fleet.DataCentres, centreName(i))
+	for i := range dataCentres {
+		fleet.DataCentres = append(fleet.DataCentres, dataCentreName(i))
 	}
 	fleet.Pools = []mothferry.PoolID{"general"}
-	fleet.HostsPerPool, fleet.HostsPerRack = hostsPerCentre, hostsPerRack
+	fleet.HostsPerPool, fleet.HostsPerRack = hostsPerDataCentre, hostsPerRack
 	fleet.Capacity = mothferry.Resources{Cores: 16_000, Memory: 32 * mothferry.Gibibyte}
 	standin, err := mfstandin.New(clock, fleet)
 	if err != nil {
@@ -74,16 +74,16 @@
 	return d, d.addNodes()
 }
 
-func centreName(i int) mothferry.DataCentre {
+func dataCentreName(i int) mothferry.DataCentre {
 	return mothferry.DataCentre(fmt.Sprintf("dc%d", i+1))
 }
 
 // addNodes opens every listener first: each daemon's settings name all addresses.
 func (d *deployment) addNodes() error {
-	for i := range centres * daemonsPerCentre {
+	for i := range dataCentres * daemonsPerDataCentre {
 		s := mfsetting.Default()
 		s.Daemon = mothferry.DaemonID(fmt.Sprintf("entry-%d", i+1))
-		s.DataCentre = centreName(i / daemonsPerCentre)
+		s.DataCentre = dataCentreName(i / daemonsPerDataCentre)
 		s.Platform.URL = "http://" + d.platform.Addr().String()
 		s.Timing.Unready = 100 * time.Millisecond
 		logs := &mflog.Logs{Output: io.Discard, Level: log.FatalLevel}
@@ -136,8 +136,8 @@
 // wait returns when everything has stopped.
 func (d *deployment) wait() { d.group.Wait() }
 
-// until asks again and again until done reports true, for at most bound.
-func (d *deployment) until(ctx context.Context, bound time.Duration, what string, done func(ctx context.Context) bool) error {
+// waitUntil asks again and again until done reports true, for at most bound.
+func (d *deployment) waitUntil(ctx context.Context, bound time.Duration, what string, done func(ctx context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	for !done(ctx) {
--- a/mfdemo/jobs.go
+++ b/mfdemo/jobs.go
@@ -23,11 +23,11 @@
 
 // Size of the demo's jobs.
 const (
-	demoJobs      = 20
-	demoTaskTakes = 30 * time.Millisecond
-	jobsBound     = 10 * time.Second
-	jobQueue      = mothferry.QueueID("proofs")
-	jobService    = mothferry.ServiceID("lacquer")
+	demoJobs     = 20
+	demoTaskTime = 30 * time.Millisecond
+	jobsTimeout  = 10 * time.Second
+	jobQueue     = mothferry.QueueID("proofs")
+	jobService   = mothferry.ServiceID("lacquer")
 )
 
 // jobHost is one daemon that takes jobs.
@@ -37,11 +37,11 @@
 	done   chan error
 }
 
-// jobs hands jobs in at two daemons over a store and a worker that are stand-ins,
+// runJobs hands jobs in at two daemons over a store and a worker that are stand-ins,
 // stops the one that owns them halfway, and waits until all are completed.
-func (d *Demo) jobs(ctx context.Context) ([]finding, error) {
+func (d *Demo) runJobs(ctx context.Context) ([]checkResult, error) {
 	rows := &mfstandin.Rows{}
-	worker := &mfstandin.TaskWorker{Service: jobService, Takes: demoTaskTakes, Cores: 64_000, Clock: d.Clock}
+	worker := &mfstandin.TaskWorker{Service: jobService, Takes: demoTaskTime, Cores: 64_000, Clock: d.Clock}
 	var hosts []jobHost
 	for i := range 2 {
 		h, err := d.startJobHost(ctx, mothferry.DaemonID(fmt.Sprintf("jobs-%d", i+1)), rows, worker)
@@ -59,7 +59,7 @@
 		if i < demoJobs/2 && i%2 == 0 {
 			host = hosts[0]
 		}
-		if err := d.handIn(ctx, host.intake, jobName(i)); err != nil {
+		if err := d.submit(ctx, host.intake, jobName(i)); err != nil {
 			return nil, err
 		}
 		if i == demoJobs/2 {
@@ -67,7 +67,7 @@
 		}
 	}
 	for i := range demoJobs {
-		if err := d.completed(ctx, hosts[1].intake, jobName(i)); err != nil {
+		if err := d.waitCompleted(ctx, hosts[1].intake, jobName(i)); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	twice := worker.Twice()
-	return []finding{
+	return []checkResult{
 		{"jobs completed over a planned stop", fmt.Sprintf("%d jobs, %d tasks, %d ms", demoJobs, worker.Ran(), took.Milliseconds()), true},
 		{"no task of a job ran twice", fmt.Sprintf("%d did", len(twice)), len(twice) == 0},
 	}, nil
@@ -124,7 +124,7 @@
 		stop()
 		return h, trace.Wrap(err)
 	}
-	err := d.until(ctx, "a daemon owns the jobs", func() bool {
+	err := d.waitUntil(ctx, "a daemon owns the jobs", func() bool {
 		_, known := h.intake.Pending(jobQueue)
 		return known
 	})
@@ -143,11 +143,11 @@
 	return l.Addr().String(), nil
 }
 
-// until waits until f holds.
-func (d *Demo) until(ctx context.Context, what string, f func() bool) error {
-	for end := d.Clock.Now().Add(jobsBound); !f(); {
+// waitUntil waits until f holds.
+func (d *Demo) waitUntil(ctx context.Context, what string, f func() bool) error {
+	for end := d.Clock.Now().Add(jobsTimeout); !f(); {
 		if d.Clock.Now().After(end) {
-			return trace.Errorf("%s: not within %v", what, jobsBound)
+			return trace.Errorf("%s: not within %v", what, jobsTimeout)
 		}
 		select {
 		case <-ctx.Done():
@@ -158,18 +158,18 @@
 	return nil
 }
 
-// handIn hands a job of two steps in until it is accepted.
-func (d *Demo) handIn(ctx context.Context, intake *mfintake.Intake, id mothferry.JobID) error {
-	step := mfjob.Step{Count: 4, Need: mothferry.Resources{Cores: 500, Memory: 64 * mothferry.Mebibyte}, Estimate: demoTaskTakes}
+// submit hands a job of two steps in until it is accepted.
+func (d *Demo) submit(ctx context.Context, intake *mfintake.Intake, id mothferry.JobID) error {
+	step := mfjob.Step{Count: 4, Need: mothferry.Resources{Cores: 500, Memory: 64 * mothferry.Mebibyte}, Estimate: demoTaskTime}
 	last := step
 	last.Count, last.After = 2, []int{0}
-	return d.until(ctx, "job is accepted", func() bool {
+	return d.waitUntil(ctx, "job is accepted", func() bool {
 		return intake.Accept(ctx, id, mfjob.Submission{Queue: jobQueue, Service: jobService, Steps: []mfjob.Step{step, last}}) == mfintake.OutcomeDone
 	})
 }
 
-func (d *Demo) completed(ctx context.Context, intake *mfintake.Intake, id mothferry.JobID) error {
-	return d.until(ctx, "job is completed", func() bool {
+func (d *Demo) waitCompleted(ctx context.Context, intake *mfintake.Intake, id mothferry.JobID) error {
+	return d.waitUntil(ctx, "job is completed", func() bool {
 		state, outcome := intake.State(ctx, id, "")
 		return outcome == mfintake.OutcomeDone && state == mfjob.StateCompleted
 	})
--- a/mfdemo/traffic.go
+++ b/mfdemo/traffic.go
@@ -18,11 +18,11 @@
 
 // Size of the demo's traffic.
 const (
-	customers          = 6
-	requestsEach       = 20
-	callerConnections  = 256
-	callerTimeout      = 10 * time.Second
-	requestsUntilFault = 5
+	customers           = 6
+	requestsPerCustomer = 20
+	callerConnections   = 256
+	callerTimeout       = 10 * time.Second
+	requestsBeforeKill  = 5
 )
 
 // traffic sends requests to a deployment and checks their answers.
@@ -31,10 +31,10 @@
 	client     *http.Client
 	services   []mothferry.ServiceID
 
-	mutex  sync.Mutex
-	ends   map[mothferry.ServiceID]map[mothferry.End]int
-	wrong  []string
-	notRun map[mothferry.RequestID]bool
+	mutex      sync.Mutex
+	ends       map[mothferry.ServiceID]map[mothferry.End]int
+	mismatches []string
+	notRun     map[mothferry.RequestID]bool
 }
 
 func newTraffic(d *deployment) *traffic {
@@ -65,21 +65,21 @@
 
 // run sends the traffic, kills a runner under it, and checks every promise
 // that the demo can see.
-func (t *traffic) run(ctx context.Context) []finding {
+func (t *traffic) run(ctx context.Context) []checkResult {
 	var group sync.WaitGroup
 	for c := range customers {
 		for i, service := range t.services {
-			group.Go(func() { t.customer(ctx, service, c, i) })
+			group.Go(func() { t.sendAll(ctx, service, c, i) })
 		}
 	}
-	victim := t.killOne()
+	victim := t.killRunner()
 	group.Wait()
 	replayed := t.repeatKeyed(ctx)
 	t.client.CloseIdleConnections()
 	runs := t.deployment.standin.Workers.Journal.Runs()
-	twice, falseNotRun := t.judge(runs)
-	return []finding{
-		{"each answer whole and the caller's own", fmt.Sprintf("%d wrong of %d", len(t.wrong), t.sent()), len(t.wrong) == 0},
+	twice, falseNotRun := t.countViolations(runs)
+	return []checkResult{
+		{"each answer whole and the caller's own", fmt.Sprintf("%d wrong of %d", len(t.mismatches), t.sent()), len(t.mismatches) == 0},
 		{"posted requests run at most once", fmt.Sprintf("%d ran twice, with runner %s killed meanwhile", twice, victim), twice == 0},
 		{"\"not run\" is true", fmt.Sprintf("%d ran in spite of it", falseNotRun), falseNotRun == 0},
 		{"a repeated key gets the recorded answer", fmt.Sprintf("%d of %d repeats, each at another data centre", replayed, len(t.services)), replayed == len(t.services)},
@@ -96,9 +96,9 @@
 	return total
 }
 
-// customer sends one customer's requests to one service, over all entry hosts.
-func (t *traffic) customer(ctx context.Context, service mothferry.ServiceID, c, offset int) {
-	for i := range requestsEach {
+// sendAll sends one customer's requests to one service, over all entry hosts.
+func (t *traffic) sendAll(ctx context.Context, service mothferry.ServiceID, c, offset int) {
+	for i := range requestsPerCustomer {
 		n := t.deployment.nodes[(c+i+offset)%len(t.deployment.nodes)]
 		id := mothferry.RequestID(fmt.Sprintf("demo-%s-%d-%d", service, c, i))
 		customer := mothferry.CustomerID(fmt.Sprintf("customer-%d", c))
@@ -112,7 +112,7 @@
 	url := fmt.Sprintf("%s/%s/orders?work=5ms&size=%d", n.callersURL(), service, len(id)*100)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		t.note(service, "", id, err.Error())
+		t.record(service, "", id, err.Error())
 		return nil
 	}
 	request.Header.Set(mothferry.HeaderRequestID, string(id))
@@ -122,21 +122,21 @@
 	}
 	response, err := t.client.Do(request)
 	if err != nil {
-		t.note(service, mothferry.EndUnknown, id, "")
+		t.record(service, mothferry.EndUnknown, id, "")
 		return nil
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.note(service, mothferry.EndUnknown, id, "")
+		t.record(service, mothferry.EndUnknown, id, "")
 		return response
 	}
 	end := mothferry.End(response.Header.Get(mothferry.HeaderEnd))
 	wrong := ""
 	if end == mothferry.EndAnswered {
-		wrong = check(data, reply{Request: id, Customer: customer, Service: service, BodyHash: hash(body)})
+		wrong = compareReply(data, reply{Request: id, Customer: customer, Service: service, BodyHash: hash(body)})
 	}
-	t.note(service, end, id, wrong)
+	t.record(service, end, id, wrong)
 	return response
 }
 
@@ -145,8 +145,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// check says what is wrong with an answer; nothing if it is empty.
-func check(data []byte, want reply) string {
+// compareReply says what is wrong with an answer; nothing if it is empty.
+func compareReply(data []byte, want reply) string {
 	var got reply
 	if err := json.Unmarshal(data, &got); err != nil {
 		return err.Error()
@@ -157,7 +157,7 @@
 	return ""
 }
 
-func (t *traffic) note(service mothferry.ServiceID, end mothferry.End, id mothferry.RequestID, wrong string) {
+func (t *traffic) record(service mothferry.ServiceID, end mothferry.End, id mothferry.RequestID, wrong string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.ends[service][end]++
@@ -165,13 +165,13 @@
 		t.notRun[id] = true
 	}
 	if wrong != "" {
-		t.wrong = append(t.wrong, wrong)
+		t.mismatches = append(t.mismatches, wrong)
 	}
 }
 
-// killOne kills a runner once a few requests have run.
-func (t *traffic) killOne() mothferry.TaskID {
-	for len(t.deployment.standin.Workers.Journal.Runs()) < requestsUntilFault*len(t.services) {
+// killRunner kills a runner once a few requests have run.
+func (t *traffic) killRunner() mothferry.TaskID {
+	for len(t.deployment.standin.Workers.Journal.Runs()) < requestsBeforeKill*len(t.services) {
 		<-t.deployment.clock.After(time.Millisecond)
 	}
 	runners := t.deployment.standin.Workers.Runners()
@@ -191,9 +191,9 @@
 	for i, service := range t.services {
 		id := mothferry.RequestID("demo-keyed-" + string(service))
 		first := t.deployment.nodes[i%len(t.deployment.nodes)]
-		other := t.deployment.nodes[(i+daemonsPerCentre)%len(t.deployment.nodes)]
+		other := t.deployment.nodes[(i+daemonsPerDataCentre)%len(t.deployment.nodes)]
 		t.send(ctx, first, service, "customer-keyed", id, "key-1")
-		_ = t.deployment.until(ctx, time.Second, "answer is recorded", func(ctx context.Context) bool {
+		_ = t.deployment.waitUntil(ctx, time.Second, "answer is recorded", func(ctx context.Context) bool {
 			response := t.send(ctx, other, service, "customer-keyed", id, "key-1")
 			return response != nil && response.Header.Get(mothferry.HeaderReplayed) != ""
 		})
@@ -205,8 +205,8 @@
 	return replayed
 }
 
-// judge compares what callers were told with what the runners' journal shows.
-func (t *traffic) judge(runs []mfstandin.Run) (twice, falseNotRun int) {
+// countViolations compares what callers were told with what the runners' journal shows.
+func (t *traffic) countViolations(runs []mfstandin.Run) (twice, falseNotRun int) {
 	count := map[mothferry.RequestID]int{}
 	for _, r := range runs {
 		count[r.Request]++
