--- a/mfdocument/difference.go
+++ b/mfdocument/difference.go
@@ -23,13 +23,13 @@
 	before := strings.Split(from.YAML(), "\n")
 	after := strings.Split(to.YAML(), "\n")
 	var out strings.Builder
-	mark(&out, "-", before, after)
-	mark(&out, "+", after, before)
+	writeMissing(&out, "-", before, after)
+	writeMissing(&out, "+", after, before)
 	return out.String()
 }
 
-// mark writes the lines that others lacks.
-func mark(out *strings.Builder, sign string, lines, others []string) {
+// writeMissing writes the lines that others lacks.
+func writeMissing(out *strings.Builder, sign string, lines, others []string) {
 	count := map[string]int{}
 	for _, l := range others {
 		count[l]++
--- a/mfdocument/document_test.go
+++ b/mfdocument/document_test.go
@@ -14,7 +14,7 @@
 	"mothferry/mfyaml"
 )
 
-const good = `service: quoting
+const validDocument = `service: quoting
 team: kelani
 runners: 10
 place:
@@ -29,7 +29,7 @@
 `
 
 func TestParse(t *testing.T) {
-	d, err := Parse("good.yaml", []byte(good))
+	d, err := Parse("good.yaml", []byte(validDocument))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Resources.Demand().Cores, mothferry.Millicores(500))
 	assert.Equal(t, d.Resources.Demand().Memory, 512*mothferry.Mebibyte)
@@ -43,9 +43,9 @@
 	assert.DeepEqual(t, record.Document, d)
 }
 
-// TestParseRefuses shows that an impossible document is refused whole, with
+// TestParseRejects shows that an impossible document is refused whole, with
 // the line and field of each problem.
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	for _, k := range []struct {
 		from, to, field string
 		line            int
@@ -66,7 +66,7 @@
 		{"path: /quotes", "path: quotes", "requests.repeatable.0.path", 12},
 	} {
 		t.Run(k.to, func(t *testing.T) {
-			_, err := Parse("bad.yaml", []byte(strings.Replace(good, k.from, k.to, 1)))
+			_, err := Parse("bad.yaml", []byte(strings.Replace(validDocument, k.from, k.to, 1)))
 			var invalid *mfyaml.ErrInvalid
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
 			assert.Equal(t, invalid.Problems[0].Field, k.field)
@@ -78,7 +78,7 @@
 // TestMayRepeat shows that a path cannot be dressed up to fall under a prefix
 // that it does not belong to.
 func TestMayRepeat(t *testing.T) {
-	d, err := Parse("good.yaml", []byte(good))
+	d, err := Parse("good.yaml", []byte(validDocument))
 	assert.NilError(t, err)
 	for _, k := range []struct {
 		method, path string
@@ -123,7 +123,7 @@
 // FuzzParse shows that no text makes the parser panic, and that what it
 // accepts survives a round trip.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validDocument))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := Parse("fuzz.yaml", data)
 		if err != nil {
--- a/mfsetting/setting_test.go
+++ b/mfsetting/setting_test.go
@@ -40,9 +40,9 @@
 	assert.Assert(t, !s.Roles.Entry && s.Roles.Control)
 }
 
-// TestParseRefuses shows that each unknown or impossible field is refused
+// TestParseRejects shows that each unknown or impossible field is refused
 // with its file, line and field, and what would be right.
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	for _, k := range []struct {
 		name, from, to string
 		line           int
