--- a/mfduty/divide_test.go
+++ b/mfduty/divide_test.go
@@ -200,9 +200,9 @@
 	assert.DeepEqual(t, s.Plan(f, start.Add(300*time.Millisecond)), calls[:1])
 }
 
-// TestSlowMachineGoesToStandbyNotToAPoolInNeed checks that a slow machine does not move to a
+// TestSlowMachineGoesToStandbyNotToShortPool checks that a slow machine does not move to a
 // short pool while a machine of normal speed moves to standby or stays idle.
-func TestSlowMachineGoesToStandbyNotToAPoolInNeed(t *testing.T) {
+func TestSlowMachineGoesToStandbyNotToShortPool(t *testing.T) {
 	s := mfduty.New()
 	f := mfduty.Fleet{
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Loads: map[mothferry.WorkerID]mfsched.Load{},
