--- a/mfcommand/play.go
+++ b/mfcommand/play.go
@@ -88,11 +88,11 @@
 	RefusedWithCapacity int `json:"refusals_beside_room"`
 }
 
-func printPlay(e *Environment, output string, seed uint64, f mfemulate.Figures, asked map[mothferry.AccountID]mfemulate.Asked) error {
+func printPlay(e *Environment, output string, seed uint64, f mfemulate.Stats, asked map[mothferry.AccountID]mfemulate.AccountStats) error {
 	p := playResult{
-		Seed: seed, Jobs: f.Jobs, OnTime: f.InTime, Late: f.Late, TooLate: f.TooLate, Failed: f.Failed, WeightedOnTime: f.Worth, LargestTenthOnTime: f.Wide, QueuesOnTime: f.Queues,
-		MachineSeconds: f.MachineSeconds, Moves: f.Moves, Starts: f.Starts, Stops: f.Stops, Polls: f.Looks, Commits: f.Commits,
-		Crashes: f.Crashes, UnrelatedFailures: f.Blameless, Violations: f.Broken,
+		Seed: seed, Jobs: f.Jobs, OnTime: f.OnTime, Late: f.Late, TooLate: f.TooLate, Failed: f.Failed, WeightedOnTime: f.WeightedOnTime, LargestTenthOnTime: f.LargestOnTime, QueuesOnTime: f.OnTimeByQueue,
+		MachineSeconds: f.MachineSeconds, Moves: f.Moves, Starts: f.Starts, Stops: f.Stops, Polls: f.Polls, Commits: f.Commits,
+		Crashes: f.Crashes, UnrelatedFailures: f.UnrelatedFailures, Violations: f.Violations,
 	}
 	if output == outputJSON {
 		p.Accounts = map[mothferry.AccountID]playAccount{}
@@ -113,7 +113,7 @@
 	for _, id := range slices.Sorted(maps.Keys(asked)) {
 		a := asked[id]
 		if _, err := fmt.Fprintf(e.Out, "  account %s: %d jobs, %d accepted, %d in time, %d of no use, %d refused for good; %d refusals, %d of them beside room\n",
-			id, a.Jobs, a.Accepted, a.InTime, a.Useless, a.Refused, a.Refusals, a.BesideRoom); err != nil {
+			id, a.Jobs, a.Accepted, a.OnTime, a.TooLateOrFailed, a.Refused, a.Refusals, a.RefusedWithCapacity); err != nil {
 			return trace.Wrap(err)
 		}
 	}
--- a/mfemulate/account_test.go
+++ b/mfemulate/account_test.go
@@ -13,8 +13,8 @@
 	"mothferry/mfsched"
 )
 
-// accounts draws limits of some accounts; a few have none.
-func accounts(r *rand.Rand) map[mothferry.AccountID]mfsched.Account {
+// drawAccounts draws limits of some accounts; a few have none.
+func drawAccounts(r *rand.Rand) map[mothferry.AccountID]mfsched.Account {
 	out := map[mothferry.AccountID]mfsched.Account{}
 	for _, id := range []mothferry.AccountID{"x", "y", "z"} {
 		a := mfsched.Account{Weight: 1 + 5*r.Float64()}
@@ -29,7 +29,7 @@
 	return out
 }
 
-func unbounded() map[mothferry.AccountID]mfsched.Account {
+func unlimitedAccounts() map[mothferry.AccountID]mfsched.Account {
 	return map[mothferry.AccountID]mfsched.Account{"x": {Weight: 1}, "y": {Weight: 1}, "z": {Weight: 1}}
 }
 
@@ -44,21 +44,21 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		r := rand.New(rand.NewPCG(seed, 3))
 		w := accountHistory(seed, r)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 		assert.Equal(t, w.Unfinished(), 0, "jobs without an end")
 	})
 }
 
 // accountHistory plays a history in which jobs belong to accounts.
 func accountHistory(seed uint64, r *rand.Rand) *mfemulate.World {
-	return newHistory(seed, historyKind{accounts: true, jobs: usualJobs, further: func(*mfemulate.Faults) {}, prepare: func(w *mfemulate.World) {
-		w.Accounts = accounts(r)
+	return newHistory(seed, historyOptions{accounts: true, jobs: defaultJobs, addFaults: func(*mfemulate.Faults) {}, prepare: func(w *mfemulate.World) {
+		w.Accounts = drawAccounts(r)
 		for range r.IntN(4) {
 			at := time.Second + time.Duration(r.Int64N(int64(20*time.Second)))
-			next := accounts(r)
+			next := drawAccounts(r)
 			w.At(at, func() { w.SetAccounts(next) })
 		}
 		// What the limits hold back has to come to an end once they are gone.
-		w.At(28*time.Second, func() { w.SetAccounts(unbounded()) })
+		w.At(28*time.Second, func() { w.SetAccounts(unlimitedAccounts()) })
 	}})
 }
--- a/mfemulate/admission_test.go
+++ b/mfemulate/admission_test.go
@@ -16,71 +16,73 @@
 	"mothferry/mfsched"
 )
 
-// served is what callers of several accounts asked for and got.
-type served struct {
-	others, hot mfemulate.Asked
+// accountResults is what callers of several accounts asked for and got.
+type accountResults struct {
+	others, hot mfemulate.AccountStats
 }
 
-// useless is the part of the accepted jobs that were of no use.
-func (s served) useless() float64 {
-	return float64(s.others.Useless+s.hot.Useless) / float64(s.others.Accepted+s.hot.Accepted)
+// uselessFraction is the part of the accepted jobs that were of no use.
+func (s accountResults) uselessFraction() float64 {
+	return float64(s.others.TooLateOrFailed+s.hot.TooLateOrFailed) / float64(s.others.Accepted+s.hot.Accepted)
 }
 
-// inTime is the part of the others' jobs that were in time.
-func (s served) inTime() float64 { return float64(s.others.InTime) / float64(s.others.Jobs) }
+// onTimeFraction is the part of the others' jobs that were in time.
+func (s accountResults) onTimeFraction() float64 {
+	return float64(s.others.OnTime) / float64(s.others.Jobs)
+}
 
-// hotAccount plays the load in which one account sends far more than its share.
-func hotAccount(t *testing.T, change func(load *mfemulate.Load), off mothferry.FeaturesOff) served {
+// playHotAccount plays the load in which one account sends far more than its share.
+func playHotAccount(t *testing.T, change func(load *mfemulate.Load), off mothferry.FeaturesOff) accountResults {
 	t.Helper()
 	load, err := mfemulate.DecodeLoad("accounts.yaml", mfexample.Accounts)
 	assert.NilError(t, err)
 	change(&load)
-	var s served
+	var s accountResults
 	for seed := range uint64(2) {
 		f, asked := mfemulate.PlayAccounts(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true, Off: off})
-		assert.Equal(t, f.Broken, 0)
+		assert.Equal(t, f.Violations, 0)
 		s.add(asked)
 	}
-	t.Logf("without %v: in time %.3f of the others' jobs, of no use %.3f of what was accepted; others %+v, hot %+v", off, s.inTime(), s.useless(), s.others, s.hot)
+	t.Logf("without %v: in time %.3f of the others' jobs, of no use %.3f of what was accepted; others %+v, hot %+v", off, s.onTimeFraction(), s.uselessFraction(), s.others, s.hot)
 	return s
 }
 
 // add adds what was asked in one play.
-func (s *served) add(asked map[mothferry.AccountID]mfemulate.Asked) {
+func (s *accountResults) add(asked map[mothferry.AccountID]mfemulate.AccountStats) {
 	for _, id := range slices.Sorted(maps.Keys(asked)) {
 		to, a := &s.others, asked[id]
 		if id == "hot" {
 			to = &s.hot
 		}
-		to.Jobs, to.InTime, to.Useless = to.Jobs+a.Jobs, to.InTime+a.InTime, to.Useless+a.Useless
+		to.Jobs, to.OnTime, to.TooLateOrFailed = to.Jobs+a.Jobs, to.OnTime+a.OnTime, to.TooLateOrFailed+a.TooLateOrFailed
 		to.Accepted, to.Refused = to.Accepted+a.Accepted, to.Refused+a.Refused
-		to.Refusals, to.BesideRoom = to.Refusals+a.Refusals, to.BesideRoom+a.BesideRoom
+		to.Refusals, to.RefusedWithCapacity = to.Refusals+a.Refusals, to.RefusedWithCapacity+a.RefusedWithCapacity
 	}
 }
 
 // Guarded against: beside an account far beyond its share others are refused or late, and what is taken in is of no use.
-func TestHotAccountInABurst(t *testing.T) {
+func TestBurstOfOneAccountLeavesOthersOnTime(t *testing.T) {
 	t.Parallel()
-	s := hotAccount(t, func(*mfemulate.Load) {}, nil)
-	assert.Assert(t, s.inTime() >= 0.7, "%.3f", s.inTime())
-	assert.Assert(t, s.useless() <= 0.04, "%.3f", s.useless())
-	without := hotAccount(t, func(*mfemulate.Load) {}, mothferry.FeaturesOff{mothferry.FeatureShares: true})
-	assert.Assert(t, without.useless() > 0.3, "the load does not show the failure")
+	s := playHotAccount(t, func(*mfemulate.Load) {}, nil)
+	assert.Assert(t, s.onTimeFraction() >= 0.7, "%.3f", s.onTimeFraction())
+	assert.Assert(t, s.uselessFraction() <= 0.04, "%.3f", s.uselessFraction())
+	without := playHotAccount(t, func(*mfemulate.Load) {}, mothferry.FeaturesOff{mothferry.FeatureShares: true})
+	assert.Assert(t, without.uselessFraction() > 0.3, "the load does not show the failure")
 }
 
 // Guarded against: an account that keeps to its usual is served worse because another sends far more.
 func TestAccountsWithinTheirSharesAreServed(t *testing.T) {
 	t.Parallel()
 	usual := func(load *mfemulate.Load) { load.Surge = mfemulate.LoadSurge{} }
-	s := hotAccount(t, usual, nil)
-	assert.Assert(t, s.inTime() >= 0.9, "%.3f", s.inTime())
-	without := hotAccount(t, usual, mothferry.FeaturesOff{mothferry.FeatureShares: true})
-	assert.Assert(t, without.inTime() < 0.9, "the load does not show the failure")
+	s := playHotAccount(t, usual, nil)
+	assert.Assert(t, s.onTimeFraction() >= 0.9, "%.3f", s.onTimeFraction())
+	without := playHotAccount(t, usual, mothferry.FeaturesOff{mothferry.FeatureShares: true})
+	assert.Assert(t, without.onTimeFraction() < 0.9, "the load does not show the failure")
 }
 
-// pressed plays two accounts of one pool that is asked for twice what it can do, with a
+// playOverload plays two accounts of one pool that is asked for twice what it can do, with a
 // change of the world meanwhile, and returns what came of it.
-func pressed(t *testing.T, seed uint64, during func(w *mfemulate.World)) map[mothferry.AccountID]mfemulate.Asked {
+func playOverload(t *testing.T, seed uint64, during func(w *mfemulate.World)) map[mothferry.AccountID]mfemulate.AccountStats {
 	t.Helper()
 	w := &mfemulate.World{
 		Limits: limits(), Random: rand.New(rand.NewPCG(seed, 9)), Queues: queues(),
@@ -93,7 +95,7 @@
 		for at := from; at < to; {
 			at += time.Duration(w.Random.ExpFloat64() / perSecond * float64(time.Second))
 			w.At(at, func() {
-				w.Ask(mfjob.Submission{Queue: "qa", Service: "a", Spec: "spec", Account: account, Steps: []mfjob.Step{{
+				w.SubmitAtHost(mfjob.Submission{Queue: "qa", Service: "a", Spec: "spec", Account: account, Steps: []mfjob.Step{{
 					Count: 6, Need: mothferry.Resources{Cores: 1500, Memory: mothferry.Gibibyte}, Estimate: 600 * time.Millisecond,
 				}}}, 2)
 			})
@@ -104,52 +106,52 @@
 	send("eager", 36, 3*time.Second, 15*time.Second)
 	during(w)
 	w.Run(80 * time.Second)
-	assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	assert.Equal(t, w.Unfinished(), 0)
-	asked := w.Asked()
+	asked := w.AccountStats()
 	t.Logf("%+v", asked)
 	return asked
 }
 
-// held asserts that the steady account was served and the eager one's line stayed short.
-func held(t *testing.T, asked map[mothferry.AccountID]mfemulate.Asked, inTime, useless float64) {
+// checkServed asserts that the steady account was served and the eager one's line stayed short.
+func checkServed(t *testing.T, asked map[mothferry.AccountID]mfemulate.AccountStats, inTime, useless float64) {
 	t.Helper()
 	steady, eager := asked["steady"], asked["eager"]
-	assert.Assert(t, float64(steady.InTime) >= inTime*float64(steady.Jobs), "%+v", steady)
-	assert.Assert(t, float64(eager.Useless) <= useless*float64(eager.Accepted), "%+v", eager)
+	assert.Assert(t, float64(steady.OnTime) >= inTime*float64(steady.Jobs), "%+v", steady)
+	assert.Assert(t, float64(eager.TooLateOrFailed) <= useless*float64(eager.Accepted), "%+v", eager)
 }
 
 // Guarded against: under lasting pressure what is taken in is of no use, or callers are refused beside free workers.
-func TestLastingPressure(t *testing.T) {
+func TestSustainedOverload(t *testing.T) {
 	t.Parallel()
-	asked := pressed(t, 1, func(*mfemulate.World) {})
-	held(t, asked, 0.9, 0.15)
-	refused, beside := asked["eager"].Refusals+asked["steady"].Refusals, asked["eager"].BesideRoom+asked["steady"].BesideRoom
+	asked := playOverload(t, 1, func(*mfemulate.World) {})
+	checkServed(t, asked, 0.9, 0.15)
+	refused, beside := asked["eager"].Refusals+asked["steady"].Refusals, asked["eager"].RefusedWithCapacity+asked["steady"].RefusedWithCapacity
 	assert.Assert(t, refused > 50)
 	assert.Assert(t, float64(beside) <= 0.05*float64(refused), "%d of %d", beside, refused)
 }
 
 // Guarded against: a new owner tells shares before it has read all jobs, or takes an account's line for empty.
-func TestOwnerChangesWhileAnAccountIsOverItsShare(t *testing.T) {
+func TestTakeoverWhileAccountIsOverItsShare(t *testing.T) {
 	t.Parallel()
-	held(t, pressed(t, 2, func(w *mfemulate.World) {
-		w.At(7*time.Second, func() { w.Kill(1200 * time.Millisecond) })
+	checkServed(t, playOverload(t, 2, func(w *mfemulate.World) {
+		w.At(7*time.Second, func() { w.KillOwner(1200 * time.Millisecond) })
 	}), 0.8, 0.2)
 }
 
 // Guarded against: a host that hears nothing of the owner refuses by an old word for good.
-func TestHostThatHearsNothingTakesJobsIn(t *testing.T) {
+func TestHostWithStaleHeadAcceptsJobs(t *testing.T) {
 	t.Parallel()
-	asked := pressed(t, 3, func(w *mfemulate.World) {
-		w.At(6*time.Second, func() { w.Deafen(0, 20*time.Second) })
+	asked := playOverload(t, 3, func(w *mfemulate.World) {
+		w.At(6*time.Second, func() { w.PauseHeadReads(0, 20*time.Second) })
 	})
-	held(t, asked, 0.8, 0.35)
+	checkServed(t, asked, 0.8, 0.35)
 }
 
 // Guarded against: a host that has just started counts for all of an account's work, or for none.
-func TestHostsRestartWhileAnAccountIsOverItsShare(t *testing.T) {
+func TestHostRestartsWhileAccountIsOverItsShare(t *testing.T) {
 	t.Parallel()
-	held(t, pressed(t, 4, func(w *mfemulate.World) {
+	checkServed(t, playOverload(t, 4, func(w *mfemulate.World) {
 		for i := range 8 {
 			w.At(time.Duration(6+i)*time.Second, func() { w.RestartHost(i) })
 		}
@@ -157,12 +159,12 @@
 }
 
 // Guarded against: while words come late, each host takes in without bound what it counts itself.
-func TestWordsThatComeLate(t *testing.T) {
+func TestHeadsReadLate(t *testing.T) {
 	t.Parallel()
-	held(t, pressed(t, 5, func(w *mfemulate.World) {
+	checkServed(t, playOverload(t, 5, func(w *mfemulate.World) {
 		for at := 5 * time.Second; at < 15*time.Second; at += 900 * time.Millisecond {
 			for i := range 8 {
-				w.At(at, func() { w.Deafen(i, 700*time.Millisecond) })
+				w.At(at, func() { w.PauseHeadReads(i, 700*time.Millisecond) })
 			}
 		}
 	}), 0.85, 0.15)
@@ -184,7 +186,7 @@
 		for at := 2 * time.Second; at < 20*time.Second; at += 25 * time.Millisecond {
 			for _, id := range []mothferry.AccountID{"x", "y", "z"} {
 				w.At(at, func() {
-					w.Ask(mfjob.Submission{Queue: "qa", Service: "a", Spec: "spec", Account: id, Steps: []mfjob.Step{{
+					w.SubmitAtHost(mfjob.Submission{Queue: "qa", Service: "a", Spec: "spec", Account: id, Steps: []mfjob.Step{{
 						Count: 4, Need: mothferry.Resources{Cores: 1000, Memory: mothferry.Gibibyte}, Estimate: 500 * time.Millisecond,
 					}}}, 0)
 				})
@@ -195,14 +197,14 @@
 		for at := 14 * time.Second; at < 20*time.Second; at += 50 * time.Millisecond {
 			w.At(at, func() {
 				samples++
-				idle += float64(w.Idle("a")) / cores
+				idle += float64(w.IdleCores("a")) / cores
 				for id := range w.Accounts {
-					sums[id] += float64(w.Running(id))
+					sums[id] += float64(w.RunningCores(id))
 				}
 			})
 		}
 		w.Run(60 * time.Second)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 		assert.Equal(t, w.Unfinished(), 0)
 		total, weight := sums["x"]+sums["y"]+sums["z"], 0.0
 		for _, a := range w.Accounts {
--- a/mfemulate/crash_test.go
+++ b/mfemulate/crash_test.go
@@ -19,7 +19,7 @@
 //
 // The aim: fewer crashes than the three after which repeats are bounded, hardly a job
 // failed by bad luck, and four fifths of what is in time without such tasks.
-func TestTasksThatEndWorkersLeaveTheOthersServed(t *testing.T) {
+func TestCrashingTasksLeaveOtherJobsOnTime(t *testing.T) {
 	t.Parallel()
 	load, err := mfemulate.DecodeLoad("crashing.yaml", mfexample.Crashing)
 	assert.NilError(t, err)
@@ -29,24 +29,24 @@
 		f := mfemulate.Play(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
 		without := mfemulate.Play(calm, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
 		t.Logf("seed %d: worth in time %.3f, without such tasks %.3f; %d of %d jobs crash, %d workers ended, %d blameless jobs failed",
-			seed+1, f.Worth, without.Worth, f.Crashing, f.Jobs, f.Crashes, f.Blameless)
-		assert.Equal(t, f.Broken, 0)
-		assert.Assert(t, f.Crashes < 3*f.Crashing)
-		assert.Assert(t, f.Blameless <= f.Jobs/100)
-		assert.Assert(t, f.Worth >= 0.8*without.Worth)
+			seed+1, f.WeightedOnTime, without.WeightedOnTime, f.CrashingJobs, f.Jobs, f.Crashes, f.UnrelatedFailures)
+		assert.Equal(t, f.Violations, 0)
+		assert.Assert(t, f.Crashes < 3*f.CrashingJobs)
+		assert.Assert(t, f.UnrelatedFailures <= f.Jobs/100)
+		assert.Assert(t, f.WeightedOnTime >= 0.8*without.WeightedOnTime)
 	}
 }
 
 // The same load and its rules alone, which hold whatever is served.
-func TestTasksThatEndWorkersAreBounded(t *testing.T) {
+func TestCrashingTaskRestartsAreBounded(t *testing.T) {
 	t.Parallel()
 	load, err := mfemulate.DecodeLoad("crashing.yaml", mfexample.Crashing)
 	assert.NilError(t, err)
 	for seed := range uint64(3) {
 		f := mfemulate.Play(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
-		assert.Equal(t, f.Broken, 0)
-		assert.Assert(t, f.Crashes < 3*f.Crashing)
-		assert.Assert(t, f.Blameless <= f.Jobs/100)
+		assert.Equal(t, f.Violations, 0)
+		assert.Assert(t, f.Crashes < 3*f.CrashingJobs)
+		assert.Assert(t, f.UnrelatedFailures <= f.Jobs/100)
 	}
 }
 
@@ -54,13 +54,13 @@
 // start. Whatever else comes, each of them is started fewer than three times after three
 // workers have crashed under it, and no job is shown as failed whose tasks had fewer than two.
 // A lasting job is never shown as failed: its task is started once in three seconds then.
-func TestHistoriesWithTasksThatEndWorkers(t *testing.T) {
+func TestHistoriesWithCrashingTasks(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := crashHistory(seed)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.Describe())
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
+		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
 	})
 }
 
--- a/mfemulate/fleet.go
+++ b/mfemulate/fleet.go
@@ -17,137 +17,137 @@
 	pool  mothferry.ServiceID
 	rack  mothferry.RackID
 	state mothferry.MachineState
-	// life is its worker, listed the life that the list of workers shows.
-	life   mothferry.WorkerID
-	listed mothferry.WorkerID
-	// former is the id of the life before.
-	former mothferry.WorkerID
-	has    mothferry.Resources
+	// worker is its worker, listed the life that the list of workers shows.
+	worker       mothferry.WorkerID
+	listedWorker mothferry.WorkerID
+	// previousWorker is the id of the life before.
+	previousWorker mothferry.WorkerID
+	capacity       mothferry.Resources
 }
 
 // AddMachines adds machines to a pool, four to a rack, each with a worker.
 func (w *World) AddMachines(pool mothferry.ServiceID, count int, has mothferry.Resources) {
 	for i := range count {
 		m := &machine{
-			id: mothferry.MachineID(fmt.Sprintf("m-%s-%02d", pool, i)), pool: pool, has: has,
+			id: mothferry.MachineID(fmt.Sprintf("m-%s-%02d", pool, i)), pool: pool, capacity: has,
 			rack: mothferry.RackID(fmt.Sprintf("r-%s-%d", pool, i/4)),
 		}
 		w.machines = append(w.machines, m)
-		w.live(m)
+		w.startWorker(m)
 	}
 }
 
-// live starts a worker on a machine.
-func (w *World) live(m *machine) {
-	w.lives++
-	id := mothferry.WorkerID(fmt.Sprintf("w-%04d", w.lives))
-	if m.former != "" && w.chance(w.Faults.SameID) {
-		id = m.former
+// startWorker starts a worker on a machine.
+func (w *World) startWorker(m *machine) {
+	w.workersStarted++
+	id := mothferry.WorkerID(fmt.Sprintf("w-%04d", w.workersStarted))
+	if m.previousWorker != "" && w.chance(w.Faults.ReuseID) {
+		id = m.previousWorker
 	}
-	m.life, m.former, m.state = id, id, mothferry.MachineUp
+	m.worker, m.previousWorker, m.state = id, id, mothferry.MachineUp
 	k := &worker{
-		world: w, machine: m, began: w.now, speed: 1 - 0.02*w.Random.Float64(), pace: 1,
-		running: map[mothferry.TaskName]*run{}, highest: map[mothferry.TaskName]mothferry.RunNumber{},
+		world: w, machine: m, startedAt: w.now, clockRate: 1 - 0.02*w.Random.Float64(), pace: 1,
+		running: map[mothferry.TaskName]*run{}, highestRuns: map[mothferry.TaskName]mothferry.RunNumber{},
 		listing: mfsched.Worker{
-			At: mothferry.WorkerAddress{Worker: id, Address: string(id)}, StartedAt: mothferry.IncarnationStart(w.now.UnixMilli()), Service: m.pool, Rack: m.rack, Capacity: m.has,
+			At: mothferry.WorkerAddress{Worker: id, Address: string(id)}, StartedAt: mothferry.IncarnationStart(w.now.UnixMilli()), Service: m.pool, Rack: m.rack, Capacity: m.capacity,
 		},
 	}
 	w.workers[id] = k
 	w.after(listLag, func() {
-		if k.over {
+		if k.ended {
 			return
 		}
-		m.listed = id
-		w.tell(mfsched.WorkerListed{Worker: k.listing})
+		m.listedWorker = id
+		w.notifyOwner(mfsched.WorkerListed{Worker: k.listing})
 	})
 }
 
-func (w *World) tell(e mfsched.Event) {
+func (w *World) notifyOwner(e mfsched.Event) {
 	o := w.owner
 	o.do(func() { o.step(e) })
 }
 
-// end ends a life: all that it ran is gone.
-func (w *World) end(m *machine) {
-	k := w.workers[m.life]
-	for _, name := range k.names() {
-		w.leave(k, name)
+// endWorker ends a life: all that it ran is gone.
+func (w *World) endWorker(m *machine) {
+	k := w.workers[m.worker]
+	for _, name := range k.runningTasks() {
+		w.recordLastServing(k, name)
 	}
-	k.over = true
+	k.ended = true
 	k.running = map[mothferry.TaskName]*run{}
-	k.breakLooks()
+	k.breakPolls()
 	w.after(listLag, func() {
 		if w.workers[k.listing.At.Worker] == k {
-			w.tell(mfsched.WorkerUnlisted{Worker: k.listing.At.Worker})
+			w.notifyOwner(mfsched.WorkerUnlisted{Worker: k.listing.At.Worker})
 		}
 	})
 }
 
-// Crash ends a machine's worker; another life begins a while later.
-func (w *World) Crash(index int, down time.Duration) {
+// CrashWorker ends a machine's worker; another life begins a while later.
+func (w *World) CrashWorker(index int, down time.Duration) {
 	m := w.machines[index%len(w.machines)]
 	if m.state == mothferry.MachineUp {
-		w.crash(m, down)
+		w.crashMachine(m, down)
 	}
 }
 
-func (w *World) crash(m *machine, down time.Duration) {
-	for name := range w.workers[m.life].running {
+func (w *World) crashMachine(m *machine, down time.Duration) {
+	for name := range w.workers[m.worker].running {
 		w.jobs[name.Job].crashes[name]++
 	}
-	w.end(m)
-	m.state, m.life = mothferry.MachineDown, ""
-	w.after(down, func() { w.live(m) })
+	w.endWorker(m)
+	m.state, m.worker = mothferry.MachineDown, ""
+	w.after(down, func() { w.startWorker(m) })
 }
 
-// Silence cuts a machine's worker off for a while; it runs on.
-func (w *World) Silence(index int, d time.Duration) {
-	k, there := w.workers[w.machines[index%len(w.machines)].life]
+// PartitionWorker cuts a machine's worker off for a while; it runs on.
+func (w *World) PartitionWorker(index int, d time.Duration) {
+	k, there := w.workers[w.machines[index%len(w.machines)].worker]
 	if !there {
 		return
 	}
-	k.silent, k.silentUntil = true, w.now.Add(d)
-	w.after(d, func() { k.silent = false })
+	k.unreachable, k.unreachableUntil = true, w.now.Add(d)
+	w.after(d, func() { k.unreachable = false })
 }
 
 const (
-	// handOver is how long after a takeover machines are left alone, callWithin
+	// takeoverHold is how long after a takeover machines are left alone, callWithin
 	// how long after the last stored commit they may be changed, as at the
 	// real owner.
-	handOver   = 3300 * time.Millisecond
-	callWithin = time.Second
+	takeoverHold = 3300 * time.Millisecond
+	maxCommitAge = time.Second
 )
 
-// duties lists machines and does what is planned, if machines may move.
-func (o *owner) duties() {
+// controlMachines lists machines and does what is planned, if machines may move.
+func (o *owner) controlMachines() {
 	w := o.world
 	o.do(func() {
 		var machines []mothferry.Machine
 		for _, m := range w.machines {
-			machines = append(machines, mothferry.Machine{Machine: m.id, Pool: m.pool, State: m.state, Capacity: m.has, Worker: m.life})
+			machines = append(machines, mothferry.Machine{Machine: m.id, Pool: m.pool, State: m.state, Capacity: m.capacity, Worker: m.worker})
 		}
-		for _, e := range o.lives.Ended(machines, o.state.Loads(), w.now) {
+		for _, e := range o.incarnations.Ended(machines, o.state.Loads(), w.now) {
 			e.ListedAt = w.now
 			o.step(e)
 		}
 		if len(w.hosts) > 0 {
 			o.step(mfsched.FleetCapacityReported{Cores: coresOf(machines)})
 		}
-		if !w.Moves && len(w.waves) == 0 || w.now.Sub(o.taken) < handOver || w.now.Sub(o.confirmed) > callWithin {
+		if !w.Moves && len(w.waves) == 0 || w.now.Sub(o.takenOverAt) < takeoverHold || w.now.Sub(o.lastCommitAt) > maxCommitAge {
 			return
 		}
-		calls := o.duty.Plan(mfduty.Fleet{Machines: machines, Loads: o.state.Loads(), Demands: o.state.Demands(w.now), Standby: w.Standby}, w.now)
-		o.step(mfsched.WorkersToEvacuate{Workers: o.duty.Evacuating(), MaintenanceDue: o.duty.AwaitingMaintenance(machines)})
+		calls := o.machineControl.Plan(mfduty.Fleet{Machines: machines, Loads: o.state.Loads(), Demands: o.state.Demands(w.now), Standby: w.Standby}, w.now)
+		o.step(mfsched.WorkersToEvacuate{Workers: o.machineControl.Evacuating(), MaintenanceDue: o.machineControl.AwaitingMaintenance(machines)})
 		for _, c := range calls {
 			answer := w.moveMachine(c)
-			o.duty.RecordAnswer(c, answer, w.now)
-			if w.Watch != nil {
-				w.Watch(w.Now(), mfsched.Decision{Message: "machine is asked for", Fields: map[string]any{"machine": c.Machine, "pool": c.Pool, "answer": answer}})
+			o.machineControl.RecordAnswer(c, answer, w.now)
+			if w.OnDecision != nil {
+				w.OnDecision(w.Now(), mfsched.Decision{Message: "machine is asked for", Fields: map[string]any{"machine": c.Machine, "pool": c.Pool, "answer": answer}})
 			}
 		}
 	})
 	if !o.dead {
-		w.after(dutyEvery, o.duties)
+		w.after(controlInterval, o.controlMachines)
 	}
 }
 
@@ -168,68 +168,68 @@
 	if m.state != mothferry.MachineUp {
 		return mfduty.AnswerRefused
 	}
-	k := w.workers[m.life]
-	for _, name := range k.names() {
+	k := w.workers[m.worker]
+	for _, name := range k.runningTasks() {
 		w.endByOrder(k, name, "move")
 	}
-	w.end(m)
-	m.life = ""
+	w.endWorker(m)
+	m.worker = ""
 	if c.Kind == mfduty.KindMaintenance {
-		w.Figures.Upkeeps++
+		w.Stats.Maintenances++
 		w.waves[c.Wave].done = append(w.waves[c.Wave].done, m.id)
 		m.state = mothferry.MachineMaintenance
-		w.after(upkeepTakes, func() { w.live(m) })
+		w.after(maintenanceTime, func() { w.startWorker(m) })
 		return mfduty.AnswerDone
 	}
-	w.Figures.Moves++
+	w.Stats.Moves++
 	m.state, m.pool = mothferry.MachineMoving, c.Pool
-	w.after(moveTakes, func() { w.live(m) })
+	w.after(moveTime, func() { w.startWorker(m) })
 	return mfduty.AnswerDone
 }
 
 // wave is upkeep that is asked for, and on which machines it was done.
 type wave struct {
-	asked mfsched.Wave
-	begun time.Time
-	done  []mothferry.MachineID
+	request     mfsched.Wave
+	requestedAt time.Time
+	done        []mothferry.MachineID
 }
 
-// Upkeep asks for the upkeep of some machines within a time, so many of them at once.
-func (w *World) Upkeep(indexes []int, within time.Duration, atOnce int) {
+// RequestMaintenance asks for the upkeep of some machines within a time, so many of them at once.
+func (w *World) RequestMaintenance(indexes []int, within time.Duration, atOnce int) {
 	id := mothferry.WaveID(len(w.waves) + 1)
-	v := &wave{asked: mfsched.Wave{Wave: id, Within: within, MaxDown: atOnce}, begun: w.now}
+	v := &wave{request: mfsched.Wave{Wave: id, Within: within, MaxDown: atOnce}, requestedAt: w.now}
 	for _, i := range indexes {
-		v.asked.Machines = append(v.asked.Machines, w.machines[i%len(w.machines)].id)
+		v.request.Machines = append(v.request.Machines, w.machines[i%len(w.machines)].id)
 	}
 	w.waves[id] = v
-	w.owner.do(func() { w.owner.duty.AddWave(v.asked, w.now) })
+	w.owner.do(func() { w.owner.machineControl.AddWave(v.request, w.now) })
 }
 
-// askedUpkeep takes in the waves that are known at a takeover.
-func (o *owner) askedUpkeep() {
+// restoreWaves takes in the waves that are known at a takeover.
+func (o *owner) restoreWaves() {
 	for id, v := range o.world.waves {
-		o.duty.RestoreWave(id, v.begun, v.done)
-		o.duty.AddWave(v.asked, o.world.now)
+		o.machineControl.RestoreWave(id, v.requestedAt, v.done)
+		o.machineControl.AddWave(v.request, o.world.now)
 	}
 }
 
 // Submit hands a job in.
 func (w *World) Submit(s mfjob.Submission) mothferry.JobID {
-	id := mothferry.JobID(fmt.Sprintf("%016x", len(w.order)+1))
+	id := mothferry.JobID(fmt.Sprintf("%016x", len(w.jobOrder)+1))
 	s.Accepted = w.now
-	w.order = append(w.order, id)
-	c := &caller{
+	w.jobOrder = append(w.jobOrder, id)
+	c := &jobRecord{
 		id: id, submission: s, state: mfjob.StateQueued, done: map[mothferry.TaskName]bool{}, doneAt: map[mothferry.TaskName]time.Time{},
-		crashes: map[mothferry.TaskName]int{}, failures: map[mothferry.TaskName]int{}, left: map[mothferry.TaskName]departure{},
+		crashes: map[mothferry.TaskName]int{}, failures: map[mothferry.TaskName]int{}, lastServing: map[mothferry.TaskName]lastServing{},
 	}
 	if w.chance(w.Faults.CrashJob) {
-		w.Figures.Crashing++
+		w.Stats.CrashingJobs++
 		step := w.Random.IntN(len(s.Steps))
-		c.crashing = &mothferry.TaskName{Job: id, Step: step, Index: w.Random.IntN(s.Steps[step].Count)}
+		c.crashingTask = &mothferry.TaskName{Job: id, Step: step, Index: w.Random.IntN(s.Steps[step].Count)}
 	}
 	w.jobs[id] = c
-	w.drawTimes(c)
-	w.after(inboxDelay, func() { w.tell(mfsched.JobFound{Job: id, Submission: s}) })
+	w.drawTaskDurations(c)
+	w.after(inboxDelay, func() { w.notifyOwner(mfsched.JobFound{Job: id, Submission: s}) })
 	return id
 }
 
@@ -239,7 +239,7 @@
 // Cancel cancels a job.
 func (w *World) Cancel(id mothferry.JobID) {
 	w.jobs[id].cancelled = w.now
-	w.after(inboxDelay, func() { w.tell(mfsched.CancelRequested{Job: id}) })
+	w.after(inboxDelay, func() { w.notifyOwner(mfsched.CancelRequested{Job: id}) })
 }
 
 // Unfinished counts accepted jobs without an end that should have one.
@@ -253,10 +253,10 @@
 	return count
 }
 
-// Describe tells of each job without an end what the store holds of it.
-func (w *World) Describe() []string {
+// DescribeUnfinished tells of each job without an end what the store holds of it.
+func (w *World) DescribeUnfinished() []string {
 	var out []string
-	for _, id := range w.order {
+	for _, id := range w.jobOrder {
 		c := w.jobs[id]
 		if !c.submission.Lasts() && !c.state.Final() {
 			out = append(out, fmt.Sprintf("job %s, cancelled %v: %+v", id, !c.cancelled.IsZero(), w.committed[id]))
--- a/mfemulate/history_test.go
+++ b/mfemulate/history_test.go
@@ -37,8 +37,8 @@
 	return w
 }
 
-// job draws a job of one to three steps.
-func job(r *rand.Rand, queue mothferry.QueueID, service mothferry.ServiceID) mfjob.Submission {
+// drawJob draws a job of one to three steps.
+func drawJob(r *rand.Rand, queue mothferry.QueueID, service mothferry.ServiceID) mfjob.Submission {
 	s := mfjob.Submission{Queue: queue, Service: service, Spec: "spec"}
 	for i := range 1 + r.IntN(3) {
 		p := mfjob.Step{
@@ -54,7 +54,7 @@
 	return s
 }
 
-func lasting(queue mothferry.QueueID, service mothferry.ServiceID) mfjob.Submission {
+func lastingJob(queue mothferry.QueueID, service mothferry.ServiceID) mfjob.Submission {
 	return mfjob.Submission{Queue: queue, Service: service, Spec: "spec", Steps: []mfjob.Step{{
 		Count: 4, Need: mothferry.Resources{Cores: 1500, Memory: mothferry.Gibibyte}, Estimate: 500 * time.Millisecond,
 		Lasting: true, PerWorker: 1, MayMiss: 1,
@@ -73,9 +73,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := history(seed)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
-		f := w.Sum()
-		unfinished := f.Jobs - f.InTime - f.Late - f.Failed - f.TooLate
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
+		f := w.Summarize()
+		unfinished := f.Jobs - f.OnTime - f.Late - f.Failed - f.TooLate
 		assert.Equal(t, unfinished, 0)
 		assert.Equal(t, w.Unfinished(), 0, "jobs without an end")
 	})
@@ -84,26 +84,26 @@
 // Histories in which most workers that start again have the id that they had, some of them
 // within one look, and know nothing of before: the same holds. What such a worker was told
 // in its life before and had not carried out is gone with that life.
-func TestHistoriesUnderOneID(t *testing.T) {
+func TestHistoriesWithReusedWorkerIDs(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := sameIDHistory(seed)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.Describe())
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
+		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
 	})
 }
 
 func sameIDHistory(seed uint64) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 5))
-	return newHistory(seed, historyKind{
-		jobs:    usualJobs,
-		further: func(f *mfemulate.Faults) { f.SameID = 0.8 },
+	return newHistory(seed, historyOptions{
+		jobs:      defaultJobs,
+		addFaults: func(f *mfemulate.Faults) { f.ReuseID = 0.8 },
 		prepare: func(w *mfemulate.World) {
 			for range 3 + r.IntN(12) {
 				at := time.Second + time.Duration(r.Int64N(int64(20*time.Second)))
 				index, down := r.IntN(13), time.Duration(r.Int64N(int64(500*time.Millisecond)))
-				w.At(at, func() { w.Crash(index, down) })
+				w.At(at, func() { w.CrashWorker(index, down) })
 			}
 		},
 	})
@@ -115,28 +115,28 @@
 
 // faultHistory plays the history of a seed with further faults.
 func faultHistory(seed uint64, further func(*mfemulate.Faults)) *mfemulate.World {
-	return newHistory(seed, historyKind{jobs: usualJobs, further: further, prepare: func(*mfemulate.World) {}})
+	return newHistory(seed, historyOptions{jobs: defaultJobs, addFaults: further, prepare: func(*mfemulate.World) {}})
 }
 
-// historyKind is what a history has beside the faults that all have.
-type historyKind struct {
-	further func(*mfemulate.Faults)
-	prepare func(*mfemulate.World)
+// historyOptions is what a history has beside the faults that all have.
+type historyOptions struct {
+	addFaults func(*mfemulate.Faults)
+	prepare   func(*mfemulate.World)
 	// accounts says that three of four jobs belong to client accounts.
 	accounts bool
 	// jobs is how many jobs are handed in that do not last.
 	jobs int
 	// speculative says that copies may run of about half of the steps.
 	speculative bool
-	// ownLasting says that prepare hands the lasting jobs in.
-	ownLasting bool
+	// preparesLasting says that prepare hands the lasting jobs in.
+	preparesLasting bool
 }
 
-// usualJobs are so many that the log of progress is seldom empty at a takeover.
-const usualJobs = 60
+// defaultJobs are so many that the log of progress is seldom empty at a takeover.
+const defaultJobs = 60
 
 // newHistory plays the history of a seed.
-func newHistory(seed uint64, kind historyKind) *mfemulate.World {
+func newHistory(seed uint64, kind historyOptions) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 1))
 	rate := func(most float64) float64 {
 		if r.IntN(2) == 0 {
@@ -146,17 +146,17 @@
 	}
 	faults := mfemulate.Faults{
 		LoseOrder: rate(0.05), LoseAnswer: rate(0.1), LateOrder: rate(0.1), LateBy: 8 * time.Second,
-		LoseCommit: rate(0.1), FailTask: rate(0.05),
+		LoseCommitAnswer: rate(0.1), FailTask: rate(0.05),
 	}
-	kind.further(&faults)
+	kind.addFaults(&faults)
 	w := newWorld(seed, faults, r.IntN(2) == 0)
 	kind.prepare(w)
 	const busy = 20 * time.Second
 	at := func() time.Duration { return time.Second + time.Duration(r.Int64N(int64(busy))) }
 	for range kind.jobs {
-		s := job(r, "qa", "a")
+		s := drawJob(r, "qa", "a")
 		if r.IntN(2) == 0 {
-			s = job(r, "qb", "b")
+			s = drawJob(r, "qb", "b")
 		}
 		d := at()
 		if kind.accounts {
@@ -172,32 +172,32 @@
 			}
 		})
 	}
-	lasts := lasting("qa", "a")
+	lasts := lastingJob("qa", "a")
 	if kind.accounts {
 		lasts.Account = "x"
 	}
-	if !kind.ownLasting {
+	if !kind.preparesLasting {
 		w.At(500*time.Millisecond, func() { w.Submit(lasts) })
 	}
 	for range r.IntN(3) {
-		w.At(at(), func() { w.Kill(1700 * time.Millisecond) })
+		w.At(at(), func() { w.KillOwner(1700 * time.Millisecond) })
 	}
 	for range r.IntN(2) {
-		w.At(at(), func() { w.Freeze(1700*time.Millisecond, 4*time.Second) })
+		w.At(at(), func() { w.FreezeOwner(1700*time.Millisecond, 4*time.Second) })
 	}
 	for range r.IntN(2) {
-		w.At(at(), func() { w.Cut(1700 * time.Millisecond) })
+		w.At(at(), func() { w.PartitionOwner(1700 * time.Millisecond) })
 	}
 	for range r.IntN(4) {
 		i := r.IntN(13)
-		w.At(at(), func() { w.Crash(i, 2*time.Second) })
+		w.At(at(), func() { w.CrashWorker(i, 2*time.Second) })
 	}
 	for range r.IntN(4) {
 		i, d := r.IntN(13), time.Duration(r.Int64N(int64(8*time.Second)))
-		w.At(at(), func() { w.Silence(i, d) })
+		w.At(at(), func() { w.PartitionWorker(i, d) })
 	}
 	w.At(busy+8*time.Second, func() {
-		w.Faults = mfemulate.Faults{CrashAfter: faults.CrashAfter, CrashDown: faults.CrashDown, SameID: faults.SameID, LastingFor: faults.LastingFor}
+		w.Faults = mfemulate.Faults{CrashAfter: faults.CrashAfter, CrashDown: faults.CrashDown, ReuseID: faults.ReuseID, MeanLastingTime: faults.MeanLastingTime}
 	})
 	w.Run(busy + 60*time.Second)
 	return w
--- a/mfemulate/host.go
+++ b/mfemulate/host.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// hostReads is how often a host reads the owner's word.
-	hostReads = 300 * time.Millisecond
-	// sharesEvery is how often an owner works accounts' shares out.
-	sharesEvery = 200 * time.Millisecond
-	// returnAfter is the unit in which callers are told when to come back.
-	returnAfter = time.Second
+	// headReadInterval is how often a host reads the owner's word.
+	headReadInterval = 300 * time.Millisecond
+	// allocationInterval is how often an owner works accounts' shares out.
+	allocationInterval = 200 * time.Millisecond
+	// retryUnit is the unit in which callers are told when to come back.
+	retryUnit = time.Second
 )
 
 // host is an entry host, with the real decisions about what is taken in.
 type host struct {
-	world  *World
-	intake *mfintake.Intake
-	board  *mfrecord.Head
-	// version is that of the row that it read last, deaf until when it reads nothing.
-	version mothferry.Version
-	deaf    time.Time
+	world    *World
+	intake   *mfintake.Intake
+	lastHead *mfrecord.Head
+	// headVersion is that of the row that it read last, deaf until when it reads nothing.
+	headVersion      mothferry.Version
+	readsPausedUntil time.Time
 }
 
 // clock is the world's.
@@ -47,98 +47,100 @@
 		h := &host{world: w}
 		h.start()
 		w.hosts = append(w.hosts, h)
-		w.after(time.Duration(w.Random.Float64()*float64(hostReads)), func() {
-			h.read()
-			w.every(hostReads, h.read)
+		w.after(time.Duration(w.Random.Float64()*float64(headReadInterval)), func() {
+			h.readHead()
+			w.every(headReadInterval, h.readHead)
 		})
 	}
 }
 
 // start begins anew, without what the host counted.
 func (h *host) start() {
-	h.board, h.version = nil, 0
+	h.lastHead, h.headVersion = nil, 0
 	h.intake = &mfintake.Intake{
 		Store: &h.world.rows, Clock: clock{h.world}, Log: mflog.Discard(), Random: h.world.Random, Off: h.world.Off,
-		LastHead: func() *mfrecord.Head { return h.board },
+		LastHead: func() *mfrecord.Head { return h.lastHead },
 	}
 }
 
 // RestartHost ends a host and starts it again at once.
 func (w *World) RestartHost(index int) { w.hosts[index].start() }
 
-// Deafen keeps a host from reading the owner's word for a while.
-func (w *World) Deafen(index int, d time.Duration) { w.hosts[index].deaf = w.now.Add(d) }
+// PauseHeadReads keeps a host from reading the owner's word for a while.
+func (w *World) PauseHeadReads(index int, d time.Duration) {
+	w.hosts[index].readsPausedUntil = w.now.Add(d)
+}
 
-func (h *host) read() {
+func (h *host) readHead() {
 	w := h.world
-	if w.now.Before(h.deaf) {
+	if w.now.Before(h.readsPausedUntil) {
 		return
 	}
-	for _, r := range w.stored(mfrecord.TableOwner) {
+	for _, r := range w.storedRows(mfrecord.TableOwner) {
 		head, err := mfrecord.DecodeHead(r.Value)
 		if err != nil {
-			w.broken("the head can't be read: %v", err)
+			w.violation("the head can't be read: %v", err)
 			return
 		}
 		head.ReadAt, head.FirstReadAt = w.now, w.now
-		if h.board != nil && r.Version == h.version {
-			head.FirstReadAt = h.board.FirstReadAt
+		if h.lastHead != nil && r.Version == h.headVersion {
+			head.FirstReadAt = h.lastHead.FirstReadAt
 		}
-		h.board, h.version = &head, r.Version
+		h.lastHead, h.headVersion = &head, r.Version
 	}
 }
 
-// head returns the row that the owner stores of itself.
-func (o *owner) head() []byte {
+// encodeHead returns the row that the owner stores of itself.
+func (o *owner) encodeHead() []byte {
 	w := o.world
 	head := mfrecord.Head{Holder: "emulated", Epoch: o.epoch}
 	if pending, known := o.state.Pending(); known && len(w.hosts) > 0 {
 		head.PendingKnown, head.Pending, head.EstimatedWaits = true, pending, o.state.Waits(w.now)
-		if w.now.Sub(o.sharesAt) >= sharesEvery {
-			o.sharesAt, o.shares = w.now, o.state.Allocations(w.now)
+		if w.now.Sub(o.allocatedAt) >= allocationInterval {
+			o.allocatedAt, o.allocation = w.now, o.state.Allocations(w.now)
 		}
-		if o.shares != nil {
-			head.Shares = o.shares.Published(o.state.NoticeableWaits())
+		if o.allocation != nil {
+			head.Shares = o.allocation.Published(o.state.NoticeableWaits())
 		}
 	}
 	data, err := head.Encode()
 	if err != nil {
-		w.broken("the head can't be encoded: %v", err)
+		w.violation("the head can't be encoded: %v", err)
 	}
 	return data
 }
 
-// Asked counts what callers of an account asked for.
-type Asked struct {
+// AccountStats counts what callers of an account asked for.
+type AccountStats struct {
 	// Jobs is how many they have, Accepted how many of them were accepted; InTime of these
 	// were completed in time after that, Useless of no use. Refused were never accepted.
-	Jobs, Accepted, InTime, Useless, Refused int
+	Jobs, Accepted, OnTime, TooLateOrFailed, Refused int
 	// Refusals counts tries that were refused, BesideRoom those of them that could have begun at once.
-	Refusals, BesideRoom int
+	Refusals, RefusedWithCapacity int
 }
 
-// Ask has a caller hand a job in at any host. A caller that is refused comes back when it
+// SubmitAtHost has a caller hand a job in at any host. A caller that is refused comes back when it
 // was told to, so many times.
-func (w *World) Ask(s mfjob.Submission, returns int) {
-	a, ok := w.asked[s.Account]
+func (w *World) SubmitAtHost(s mfjob.Submission, returns int) {
+	a, ok := w.accountStats[s.Account]
 	if !ok {
-		a = &Asked{}
-		w.asked[s.Account] = a
+		a = &AccountStats{}
+		w.accountStats[s.Account] = a
 	}
 	a.Jobs++
-	w.serial++
-	w.try(mothferry.JobID(fmt.Sprintf("asked-%d", w.serial)), s, a, returns)
+	w.submissions++
+	w.trySubmit(mothferry.JobID(fmt.Sprintf("asked-%d", w.submissions)), s, a, returns)
 }
 
-func (w *World) try(id mothferry.JobID, s mfjob.Submission, a *Asked, returns int) {
+func (w *World) trySubmit(id mothferry.JobID, s mfjob.Submission, a *AccountStats, returns int) {
 	h := w.hosts[w.Random.IntN(len(w.hosts))]
 	q := w.Queues[s.Queue]
 	queue := mfqueue.Queue{ID: s.Queue, Service: q.Service, Stretch: q.Stretch, Latency: q.Latency}
 	again, refused := h.intake.Refuse(context.Background(), id, queue, s)
 	if refused {
 		a.Refusals++
-		if w.couldBegin(s) {
-			a.BesideRoom++
+		if w.couldStart(s) {
+			a.RefusedWithCapacity++
 		}
 	}
 	switch {
@@ -148,15 +150,15 @@
 	case returns == 0:
 		a.Refused++
 	default:
-		units := max(1, (again+returnAfter-1)/returnAfter)
-		w.after(units*returnAfter, func() { w.try(id, s, a, returns-1) })
+		units := max(1, (again+retryUnit-1)/retryUnit)
+		w.after(units*retryUnit, func() { w.trySubmit(id, s, a, returns-1) })
 	}
 }
 
-// Asked returns what callers of each account asked for and what came of it.
-func (w *World) Asked() map[mothferry.AccountID]Asked {
-	out := map[mothferry.AccountID]Asked{}
-	for id, a := range w.asked {
+// AccountStats returns what callers of each account asked for and what came of it.
+func (w *World) AccountStats() map[mothferry.AccountID]AccountStats {
+	out := map[mothferry.AccountID]AccountStats{}
+	for id, a := range w.accountStats {
 		out[id] = *a
 	}
 	for _, c := range w.jobs {
@@ -167,35 +169,35 @@
 		took, aim := c.completed.Sub(c.submission.Accepted), w.objective(c)
 		switch {
 		case c.state != mfjob.StateCompleted || took > mfjob.LateFactor*aim:
-			a.Useless++
+			a.TooLateOrFailed++
 		case took <= aim:
-			a.InTime++
+			a.OnTime++
 		}
 		out[c.submission.Account] = a
 	}
 	return out
 }
 
-// couldBegin reports whether the first step of a job could start at once: its service's
+// couldStart reports whether the first step of a job could start at once: its service's
 // workers have room for twice as much, and its account is not near its limit, where a small
 // job has room at most moments beside the line of larger ones.
-func (w *World) couldBegin(s mfjob.Submission) bool {
+func (w *World) couldStart(s mfjob.Submission) bool {
 	first := s.Steps[0]
 	need := mothferry.Millicores(first.Count) * first.Need.Cores
-	if most := w.limits[s.Account].Cores; most > 0 && float64(w.heldBy(s.Account).Cores+need) > nearLimit*float64(most) {
+	if most := w.limits[s.Account].Cores; most > 0 && float64(w.resourcesInUse(s.Account).Cores+need) > nearLimitFraction*float64(most) {
 		return false
 	}
-	return w.Idle(s.Service) >= 2*need
+	return w.IdleCores(s.Service) >= 2*need
 }
 
-// nearLimit is the part of its limit from which on an account counts as being near it.
-const nearLimit = 0.8
+// nearLimitFraction is the part of its limit from which on an account counts as being near it.
+const nearLimitFraction = 0.8
 
-// Idle returns what no task takes of a service's workers.
-func (w *World) Idle(service mothferry.ServiceID) mothferry.Millicores {
+// IdleCores returns what no task takes of a service's workers.
+func (w *World) IdleCores(service mothferry.ServiceID) mothferry.Millicores {
 	var idle mothferry.Millicores
 	for _, k := range w.workers {
-		if k.over || k.silent || k.listing.Service != service {
+		if k.ended || k.unreachable || k.listing.Service != service {
 			continue
 		}
 		idle += k.listing.Capacity.Cores
@@ -206,5 +208,7 @@
 	return idle
 }
 
-// Running returns what tasks of an account take.
-func (w *World) Running(id mothferry.AccountID) mothferry.Millicores { return w.heldBy(id).Cores }
+// RunningCores returns what tasks of an account take.
+func (w *World) RunningCores(id mothferry.AccountID) mothferry.Millicores {
+	return w.resourcesInUse(id).Cores
+}
--- a/mfemulate/load.go
+++ b/mfemulate/load.go
@@ -17,23 +17,23 @@
 
 // Load is a load file: services with machines, and queues with their traffic.
 type Load struct {
-	// For is how long traffic lasts.
-	For      time.Duration `yaml:"for"`
+	// Duration is how long traffic lasts.
+	Duration time.Duration `yaml:"for"`
 	Services []LoadService `yaml:"services"`
 	Queues   []LoadQueue   `yaml:"queues"`
 	Faults   LoadFaults    `yaml:"faults"`
 	// Hosts is how many entry hosts take jobs in; without any nothing is refused.
 	Hosts int `yaml:"hosts"`
-	// Returns is how often a caller comes back that was refused.
-	Returns int `yaml:"returns"`
+	// Retries is how often a caller comes back that was refused.
+	Retries int `yaml:"returns"`
 	// Accounts are the client accounts, which send parts of all traffic by their weights.
 	Accounts []LoadAccount `yaml:"accounts"`
 	// Surge is one of all accounts.
 	Surge LoadSurge `yaml:"surge"`
 	// Estimates say how far off estimates of tasks are.
-	Estimates Estimates `yaml:"estimates"`
-	// Uneven are the times at which workers are slow or hang tasks.
-	Uneven []LoadUneven `yaml:"uneven"`
+	Estimates EstimateErrors `yaml:"estimates"`
+	// Degraded are the times at which workers are slow or hang tasks.
+	Degraded []LoadDegraded `yaml:"uneven"`
 }
 
 // LoadAccount is one client account.
@@ -48,17 +48,17 @@
 
 // LoadSurge has traffic be Times its usual from At of the traffic on, For so long.
 type LoadSurge struct {
-	At    time.Duration `yaml:"at"`
-	For   time.Duration `yaml:"for"`
-	Times float64       `yaml:"times"`
+	Start    time.Duration `yaml:"at"`
+	Duration time.Duration `yaml:"for"`
+	Factor   float64       `yaml:"times"`
 }
 
-// times returns how many times its usual traffic is at a moment.
-func (s LoadSurge) times(d time.Duration) float64 {
-	if d < s.At || d >= s.At+s.For {
+// factorAt returns how many times its usual traffic is at a moment.
+func (s LoadSurge) factorAt(d time.Duration) float64 {
+	if d < s.Start || d >= s.Start+s.Duration {
 		return 1
 	}
-	return s.Times
+	return s.Factor
 }
 
 // LoadFaults is what goes wrong all the time that a load is played.
@@ -100,28 +100,28 @@
 	Jobs float64 `yaml:"jobs"`
 	// Steps, Tasks, Task and Cores are means: steps of a job, tasks of a step,
 	// and a task's time and cores.
-	Steps float64       `yaml:"steps"`
-	Tasks float64       `yaml:"tasks"`
-	Task  time.Duration `yaml:"task"`
-	Cores float64       `yaml:"cores"`
+	Steps    float64       `yaml:"steps"`
+	Tasks    float64       `yaml:"tasks"`
+	TaskTime time.Duration `yaml:"task"`
+	Cores    float64       `yaml:"cores"`
 	// Memory is a task's mean memory, in GiB; its tasks differ in it as in cores.
 	Memory float64 `yaml:"memory"`
 	// Speculative is the part of the steps of which copies may run.
 	Speculative float64 `yaml:"speculative"`
-	// Lasting is how many tasks the queue's one lasting job has.
-	Lasting int      `yaml:"lasting"`
-	Turn    LoadTurn `yaml:"turn"`
+	// LastingTasks is how many tasks the queue's one lasting job has.
+	LastingTasks int      `yaml:"lasting"`
+	Peak         LoadPeak `yaml:"turn"`
 }
 
-// LoadTurn shapes a queue's traffic: For out of Every, it is Times the mean,
+// LoadPeak shapes a queue's traffic: For out of Every, it is Times the mean,
 // and Else of the mean at other times. Without Every traffic is even. A smooth
 // turn rises to Times by its middle and falls again.
-type LoadTurn struct {
-	Every time.Duration `yaml:"every"`
-	For   time.Duration `yaml:"for"`
-	Phase time.Duration `yaml:"phase"`
-	Times float64       `yaml:"times"`
-	Else  float64       `yaml:"else"`
+type LoadPeak struct {
+	Period        time.Duration `yaml:"every"`
+	Duration      time.Duration `yaml:"for"`
+	Phase         time.Duration `yaml:"phase"`
+	Factor        float64       `yaml:"times"`
+	OffPeakFactor float64       `yaml:"else"`
 	// Smooth turns rise and fall as the square of a sine does.
 	Smooth bool `yaml:"smooth"`
 }
@@ -139,7 +139,7 @@
 func DecodeLoad(file string, data []byte) (Load, error) {
 	var l Load
 	text := mfyaml.Decode(file, data, &l)
-	if l.For <= 0 {
+	if l.Duration <= 0 {
 		text.Reject("for", "must say how long traffic lasts, such as 40s")
 	}
 	known := map[mothferry.ServiceID]bool{}
@@ -153,35 +153,35 @@
 		if !known[q.Service] {
 			text.Reject("queues", "service must name one of the services")
 		}
-		if q.Memory < 0 || q.Jobs < 0 || q.Task <= 0 || q.Cores <= 0 || q.Tasks < 1 || q.Steps < 1 || q.Stretch <= 0 || q.Attempts < 1 {
+		if q.Memory < 0 || q.Jobs < 0 || q.TaskTime <= 0 || q.Cores <= 0 || q.Tasks < 1 || q.Steps < 1 || q.Stretch <= 0 || q.Attempts < 1 {
 			text.Reject("queues", "each needs jobs, steps, tasks, task, cores, stretch and attempts, and no memory below 0")
 		}
 	}
 	for _, a := range l.Accounts {
-		if a.Name == "" || a.Weight <= 0 || a.Cores < 0 || a.Surge.Times < 0 {
+		if a.Name == "" || a.Weight <= 0 || a.Cores < 0 || a.Surge.Factor < 0 {
 			text.Reject("accounts", "each needs a name and a weight above 0")
 		}
 	}
-	if l.Hosts < 0 || l.Returns < 0 {
+	if l.Hosts < 0 || l.Retries < 0 {
 		text.Reject("hosts", "hosts and returns must be 0 or more")
 	}
-	for _, u := range l.Uneven {
-		if !known[u.Service] || u.Share < 0 || u.Share > 1 || u.Slow < 0 || u.Hang < 0 || u.Hang > 1 {
+	for _, u := range l.Degraded {
+		if !known[u.Service] || u.Fraction < 0 || u.Fraction > 1 || u.SlowFactor < 0 || u.HangFraction < 0 || u.HangFraction > 1 {
 			text.Reject("uneven", "each needs one of the services, share and hang from 0 to 1, and slow above 0")
 		}
 	}
 	return l, text.Err()
 }
 
-// usualMemory is what a machine has of which a load file names no memory, in GiB.
-const usualMemory = 32
+// defaultMemoryGiB is what a machine has of which a load file names no memory, in GiB.
+const defaultMemoryGiB = 32
 
 func gibibytes(amount float64) mothferry.Bytes {
 	return mothferry.Bytes(amount * float64(mothferry.Gibibyte))
 }
 
-// settleFor is how long a play goes on after the traffic.
-const settleFor = 20 * time.Second
+// settleTime is how long a play goes on after the traffic.
+const settleTime = 20 * time.Second
 
 // Options say how a load is played.
 type Options struct {
@@ -194,16 +194,16 @@
 }
 
 // Play plays a load with the faults that it names and returns its figures.
-func Play(l Load, o Options) Figures { return l.world(o).Sum() }
+func Play(l Load, o Options) Stats { return l.play(o).Summarize() }
 
 // PlayAccounts plays a load and returns what callers of each account asked for too.
-func PlayAccounts(l Load, o Options) (Figures, map[mothferry.AccountID]Asked) {
-	w := l.world(o)
-	return w.Sum(), w.Asked()
+func PlayAccounts(l Load, o Options) (Stats, map[mothferry.AccountID]AccountStats) {
+	w := l.play(o)
+	return w.Summarize(), w.AccountStats()
 }
 
-// world plays a load.
-func (l Load) world(o Options) *World {
+// play plays a load.
+func (l Load) play(o Options) *World {
 	w := &World{
 		Limits: o.Limits, Faults: l.Faults.faults(), Random: rand.New(rand.NewPCG(o.Seed, 1)), Moves: o.Moves, Off: o.Off, Estimates: l.Estimates,
 		Queues: map[mothferry.QueueID]mfsched.Queue{}, Standby: map[mothferry.ServiceID]bool{},
@@ -225,51 +225,51 @@
 	w.Begin()
 	w.AddHosts(l.Hosts)
 	for _, s := range l.Services {
-		w.AddMachines(s.Name, s.Machines, mothferry.Resources{Cores: mothferry.Millicores(s.Cores * 1000), Memory: gibibytes(cmp.Or(s.Memory, usualMemory))})
+		w.AddMachines(s.Name, s.Machines, mothferry.Resources{Cores: mothferry.Millicores(s.Cores * 1000), Memory: gibibytes(cmp.Or(s.Memory, defaultMemoryGiB))})
 	}
 	for _, q := range l.Queues {
-		w.lasting(q)
+		w.submitLastingJob(q)
 		if len(l.Accounts) == 0 {
-			w.arrive(q, leadTime, leadTime+l.For)
+			w.scheduleArrivals(q, leadTime, leadTime+l.Duration)
 		}
 		for _, a := range l.Accounts {
-			w.arriveFor(l, q, a)
+			w.scheduleAccountArrivals(l, q, a)
 		}
 	}
-	for _, u := range l.Uneven {
-		w.At(leadTime+u.From, func() { w.makeUneven(u) })
+	for _, u := range l.Degraded {
+		w.At(leadTime+u.Start, func() { w.degradePool(u) })
 	}
-	w.Run(leadTime + l.For + settleFor)
+	w.Run(leadTime + l.Duration + settleTime)
 	return w
 }
 
-// arriveFor has an account's jobs of a queue arrive.
-func (w *World) arriveFor(l Load, q LoadQueue, a LoadAccount) {
+// scheduleAccountArrivals has an account's jobs of a queue arrive.
+func (w *World) scheduleAccountArrivals(l Load, q LoadQueue, a LoadAccount) {
 	weights := 0.0
 	for _, o := range l.Accounts {
 		weights += o.Weight
 	}
 	usual := q.Jobs * a.Weight / weights
-	most := usual * max(1, q.Turn.Times, q.Turn.Else) * max(1, a.Surge.Times) * max(1, l.Surge.Times)
+	most := usual * max(1, q.Peak.Factor, q.Peak.OffPeakFactor) * max(1, a.Surge.Factor) * max(1, l.Surge.Factor)
 	for at := time.Duration(0); ; {
 		at += time.Duration(w.Random.ExpFloat64() / most * float64(time.Second))
-		if at >= l.For {
+		if at >= l.Duration {
 			return
 		}
 		// An account's own surge stands for that of all.
-		times := l.Surge.times(at)
-		if own := a.Surge.times(at); own != 1 {
+		times := l.Surge.factorAt(at)
+		if own := a.Surge.factorAt(at); own != 1 {
 			times = own
 		}
-		if w.Random.Float64() < usual*q.Turn.at(at)*times/most {
-			s := w.draw(q)
+		if w.Random.Float64() < usual*q.Peak.factorAt(at)*times/most {
+			s := w.drawJob(q)
 			s.Account = a.Name
 			w.At(leadTime+at, func() {
 				if len(w.hosts) == 0 {
 					w.Submit(s)
 					return
 				}
-				w.Ask(s, l.Returns)
+				w.SubmitAtHost(s, l.Retries)
 			})
 		}
 	}
@@ -278,53 +278,53 @@
 // leadTime passes before traffic begins, so that an owner may move machines.
 const leadTime = 5 * time.Second
 
-func (w *World) lasting(q LoadQueue) {
-	if q.Lasting == 0 {
+func (w *World) submitLastingJob(q LoadQueue) {
+	if q.LastingTasks == 0 {
 		return
 	}
 	w.At(time.Second, func() {
 		w.Submit(mfjob.Submission{Queue: q.Name, Service: q.Service, Spec: "spec", Steps: []mfjob.Step{{
-			Count: q.Lasting, Need: mothferry.Resources{Cores: 1500}, Estimate: 500 * time.Millisecond,
+			Count: q.LastingTasks, Need: mothferry.Resources{Cores: 1500}, Estimate: 500 * time.Millisecond,
 			Lasting: true, PerWorker: 1, MayMiss: 1,
 		}}})
 	})
 }
 
-// arrive has jobs of a queue arrive at random, in the shape of its turns.
-func (w *World) arrive(q LoadQueue, begin, end time.Duration) {
-	most := q.Jobs * max(1, q.Turn.Times, q.Turn.Else)
+// scheduleArrivals has jobs of a queue arrive at random, in the shape of its turns.
+func (w *World) scheduleArrivals(q LoadQueue, begin, end time.Duration) {
+	most := q.Jobs * max(1, q.Peak.Factor, q.Peak.OffPeakFactor)
 	for at := begin; ; {
 		at += time.Duration(w.Random.ExpFloat64() / most * float64(time.Second))
 		if at >= end {
 			return
 		}
-		if w.Random.Float64() < q.Jobs*q.Turn.at(at-begin)/most {
-			s := w.draw(q)
+		if w.Random.Float64() < q.Jobs*q.Peak.factorAt(at-begin)/most {
+			s := w.drawJob(q)
 			w.At(at, func() { w.Submit(s) })
 		}
 	}
 }
 
-// at returns how many times its mean a queue is asked for at a moment.
-func (t LoadTurn) at(d time.Duration) float64 {
-	if t.Every <= 0 {
+// factorAt returns how many times its mean a queue is asked for at a moment.
+func (t LoadPeak) factorAt(d time.Duration) float64 {
+	if t.Period <= 0 {
 		return 1
 	}
-	into := (d + t.Every - t.Phase) % t.Every
+	into := (d + t.Period - t.Phase) % t.Period
 	switch {
-	case into >= t.For:
-		return t.Else
+	case into >= t.Duration:
+		return t.OffPeakFactor
 	case t.Smooth:
-		rise := math.Sin(math.Pi * float64(into) / float64(t.For))
-		return max(t.Else, t.Times*rise*rise)
+		rise := math.Sin(math.Pi * float64(into) / float64(t.Duration))
+		return max(t.OffPeakFactor, t.Factor*rise*rise)
 	default:
-		return t.Times
+		return t.Factor
 	}
 }
 
-// draw draws a job of a queue. Widths and times are log-normal, as the users'
+// drawJob draws a job of a queue. Widths and times are log-normal, as the users'
 // are: many small jobs, a few that are several times as wide.
-func (w *World) draw(q LoadQueue) mfjob.Submission {
+func (w *World) drawJob(q LoadQueue) mfjob.Submission {
 	s := mfjob.Submission{Queue: q.Name, Service: q.Service, Spec: "spec"}
 	steps := int(q.Steps)
 	if w.Random.Float64() < q.Steps-math.Floor(q.Steps) {
@@ -332,12 +332,12 @@
 	}
 	for i := range max(1, steps) {
 		p := mfjob.Step{
-			Count:    max(1, int(math.Round(w.spread(q.Tasks, 0.6)))),
-			Need:     mothferry.Resources{Cores: mothferry.Millicores(1000 * min(3*q.Cores, w.spread(q.Cores, 0.45)))},
-			Estimate: time.Duration(w.spread(float64(q.Task), 0.5)),
+			Count:    max(1, int(math.Round(w.logNormal(q.Tasks, 0.6)))),
+			Need:     mothferry.Resources{Cores: mothferry.Millicores(1000 * min(3*q.Cores, w.logNormal(q.Cores, 0.45)))},
+			Estimate: time.Duration(w.logNormal(float64(q.TaskTime), 0.5)),
 		}
 		if q.Memory > 0 {
-			p.Need.Memory = gibibytes(min(3*q.Memory, w.spread(q.Memory, 0.45)))
+			p.Need.Memory = gibibytes(min(3*q.Memory, w.logNormal(q.Memory, 0.45)))
 		}
 		if i > 0 {
 			p.After = []int{i - 1}
@@ -348,7 +348,7 @@
 	return s
 }
 
-// spread draws from a log-normal distribution with a mean and a spread.
-func (w *World) spread(mean, sigma float64) float64 {
+// logNormal draws from a log-normal distribution with a mean and a spread.
+func (w *World) logNormal(mean, sigma float64) float64 {
 	return mean * math.Exp(sigma*w.Random.NormFloat64()-sigma*sigma/2)
 }
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -16,43 +16,43 @@
 
 // owner is one host's ownership of the shard.
 type owner struct {
-	world *World
-	state *mfsched.State
-	duty  *mfduty.State
-	lives mfduty.IncarnationTracker
-	epoch mothferry.Epoch
-	// version is that of the shard's head when this owner last wrote it.
-	version mothferry.Version
-	journal *mfjournal.Journal
-	// shares is how accounts stood when that was last worked out.
-	shares   mfshare.Allocation
-	sharesAt time.Time
+	world          *World
+	state          *mfsched.State
+	machineControl *mfduty.State
+	incarnations   mfduty.IncarnationTracker
+	epoch          mothferry.Epoch
+	// headVersion is that of the shard's head when this owner last wrote it.
+	headVersion mothferry.Version
+	journal     *mfjournal.Journal
+	// allocation is how accounts stood when that was last worked out.
+	allocation  mfshare.Allocation
+	allocatedAt time.Time
 	// dead owners do nothing more; frozen ones keep what reaches them for later.
-	dead   bool
-	frozen bool
-	cut    bool
-	kept   []func()
-	// taken is when it took over, confirmed when its last stored commit was.
-	taken, confirmed time.Time
+	dead        bool
+	frozen      bool
+	partitioned bool
+	deferred    []func()
+	// takenOverAt is when it took over, confirmed when its last stored commit was.
+	takenOverAt, lastCommitAt time.Time
 }
 
 // TakeOver makes a new owner from what the store holds. The old one is not
 // told: it finds out when it commits.
 func (w *World) TakeOver() {
 	w.epoch++
-	w.Figures.Takeovers++
-	o := &owner{world: w, epoch: w.epoch, state: mfsched.New(w.Limits, w.epoch, w.now, w.now.Add(w.Limits.LeaseExpiryBound())), duty: mfduty.New(), taken: w.now}
-	o.state.Off, o.duty.Off = w.Off, w.Off
+	w.Stats.Takeovers++
+	o := &owner{world: w, epoch: w.epoch, state: mfsched.New(w.Limits, w.epoch, w.now, w.now.Add(w.Limits.LeaseExpiryBound())), machineControl: mfduty.New(), takenOverAt: w.now}
+	o.state.Off, o.machineControl.Off = w.Off, w.Off
 	w.owner = o
-	progress := o.inherit()
+	progress := o.restore()
 	o.step(mfsched.ConfigChanged{Queues: w.Queues, Accounts: w.Accounts})
-	for _, id := range w.order {
+	for _, id := range w.jobOrder {
 		c := w.jobs[id]
 		p, known := progress[id]
 		if known && p.State.Final() {
 			o.step(mfsched.JobFinished{Job: id, State: p.State})
 		}
-		if c.dropped {
+		if c.submissionDeleted {
 			continue
 		}
 		e := mfsched.JobFound{Job: id, Submission: c.submission}
@@ -66,43 +66,43 @@
 	}
 	o.step(mfsched.JobsLoaded{})
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if v := w.workers[id]; !v.over && v.machine.listed == id {
+		if v := w.workers[id]; !v.ended && v.machine.listedWorker == id {
 			o.step(mfsched.WorkerListed{Worker: v.listing})
 		}
 	}
-	o.askedUpkeep()
+	o.restoreWaves()
 	o.tick()
-	o.duties()
+	o.controlMachines()
 }
 
-// Kill ends the owner at once; another one takes over a while later.
-func (w *World) Kill(vacant time.Duration) {
+// KillOwner ends the owner at once; another one takes over a while later.
+func (w *World) KillOwner(vacant time.Duration) {
 	w.owner.dead = true
-	w.faultUntil(w.now.Add(vacant))
+	w.extendFault(w.now.Add(vacant))
 	w.after(vacant, w.TakeOver)
 }
 
-// Freeze stops the owner for a time, while another one takes over. It goes on
+// FreezeOwner stops the owner for a time, while another one takes over. It goes on
 // afterwards with what it knew.
-func (w *World) Freeze(vacant, frozen time.Duration) {
+func (w *World) FreezeOwner(vacant, frozen time.Duration) {
 	o := w.owner
 	o.frozen = true
-	w.faultUntil(w.now.Add(max(vacant, frozen)))
+	w.extendFault(w.now.Add(max(vacant, frozen)))
 	w.after(vacant, w.TakeOver)
 	w.after(frozen, func() {
 		o.frozen = false
-		kept := o.kept
-		o.kept = nil
+		kept := o.deferred
+		o.deferred = nil
 		for _, f := range kept {
 			f()
 		}
 	})
 }
 
-// Cut parts the owner from the store, but not from workers; another one takes over.
-func (w *World) Cut(vacant time.Duration) {
-	w.owner.cut = true
-	w.faultUntil(w.now.Add(vacant))
+// PartitionOwner parts the owner from the store, but not from workers; another one takes over.
+func (w *World) PartitionOwner(vacant time.Duration) {
+	w.owner.partitioned = true
+	w.extendFault(w.now.Add(vacant))
 	w.after(vacant, w.TakeOver)
 }
 
@@ -111,7 +111,7 @@
 	switch {
 	case o.dead:
 	case o.frozen:
-		o.kept = append(o.kept, f)
+		o.deferred = append(o.deferred, f)
 	default:
 		f()
 	}
@@ -120,7 +120,7 @@
 func (o *owner) tick() {
 	o.do(func() { o.step(mfsched.Tick{}) })
 	if !o.dead {
-		o.world.after(tickEvery, o.tick)
+		o.world.after(tickInterval, o.tick)
 	}
 }
 
@@ -134,54 +134,54 @@
 	w := o.world
 	switch v := c.(type) {
 	case mfsched.Commit:
-		w.Figures.Commits++
+		w.Stats.Commits++
 		rows := o.journal.Write(v.Progress)
 		w.after(commitDelay, func() { o.commit(v, rows) })
 	case mfsched.Start:
-		w.Figures.Starts++
+		w.Stats.Starts++
 		sent := w.now
 		var clock mothferry.WorkerClock
-		o.order(v.At.Worker, func(k *worker) error { clock = k.clock(); return k.start(v.Order) }, func(r mfsched.OrderResult, why mothferry.OrderRefusal) {
+		o.sendOrder(v.At.Worker, func(k *worker) error { clock = k.clock(); return k.start(v.Order) }, func(r mfsched.OrderResult, why mothferry.OrderRefusal) {
 			if r == mfsched.ResultRefused {
-				w.Figures.Refused++
+				w.Stats.Refused++
 			}
 			o.step(mfsched.StartAnswered{Worker: v.At.Worker, Sent: sent, Task: v.Order.Task, Run: v.Order.Run, Result: r, Refusal: why, Clock: clock})
 		})
 	case mfsched.Stop:
-		w.Figures.Stops++
+		w.Stats.Stops++
 		sent := w.now
-		o.order(v.At.Worker, func(k *worker) error { return k.stop(v.Task, v.Run, o.epoch) }, func(r mfsched.OrderResult, _ mothferry.OrderRefusal) {
+		o.sendOrder(v.At.Worker, func(k *worker) error { return k.stop(v.Task, v.Run, o.epoch) }, func(r mfsched.OrderResult, _ mothferry.OrderRefusal) {
 			o.step(mfsched.StopAnswered{Worker: v.At.Worker, Sent: sent, Task: v.Task, Run: v.Run, Result: r})
 		})
 	case mfsched.Decision:
-		if w.Watch != nil {
-			w.Watch(w.Now(), v)
+		if w.OnDecision != nil {
+			w.OnDecision(w.Now(), v)
 		}
 	case mfsched.DeleteSubmissions:
-		w.after(commitDelay, func() { w.drop(v.Jobs) })
+		w.after(commitDelay, func() { w.deleteSubmissions(v.Jobs) })
 	case mfsched.Poll:
-		w.Figures.Looks++
-		o.look(v)
+		w.Stats.Polls++
+		o.sendPoll(v)
 	}
 }
 
-// drop deletes what was handed in for jobs. The owner need not be one any more: the
+// deleteSubmissions deletes what was handed in for jobs. The owner need not be one any more: the
 // deletion checks nothing.
-func (w *World) drop(jobs []mothferry.JobID) {
+func (w *World) deleteSubmissions(jobs []mothferry.JobID) {
 	for _, id := range jobs {
 		if !w.committed[id].State.Final() {
-			w.broken("what was handed in for job %s is deleted, its end is not stored", id)
+			w.violation("what was handed in for job %s is deleted, its end is not stored", id)
 		}
-		w.jobs[id].dropped = true
+		w.jobs[id].submissionDeleted = true
 	}
 }
 
-// note takes in the state of a job that callers can read.
-func (w *World) note(id mothferry.JobID, state mfjob.State) {
+// recordState takes in the state of a job that callers can read.
+func (w *World) recordState(id mothferry.JobID, state mfjob.State) {
 	c := w.jobs[id]
 	if c.state.Final() {
 		if c.state != state {
-			w.broken("job %s was %s and is shown as %s", id, c.state, state)
+			w.violation("job %s was %s and is shown as %s", id, c.state, state)
 		}
 		return
 	}
@@ -199,14 +199,14 @@
 	for i, s := range c.submission.Steps {
 		for x := range s.Count {
 			if !c.done[mothferry.TaskName{Job: id, Step: i, Index: x}] {
-				w.broken("job %s is shown as completed, task %d.%d has not ended", id, i, x)
+				w.violation("job %s is shown as completed, task %d.%d has not ended", id, i, x)
 			}
 		}
 	}
 }
 
-// order sends an order over a network that loses and delays.
-func (o *owner) order(id mothferry.WorkerID, carry func(*worker) error, answered func(mfsched.OrderResult, mothferry.OrderRefusal)) {
+// sendOrder sends an order over a network that loses and delays.
+func (o *owner) sendOrder(id mothferry.WorkerID, carry func(*worker) error, answered func(mfsched.OrderResult, mothferry.OrderRefusal)) {
 	w := o.world
 	unknown := func() { o.do(func() { answered(mfsched.ResultUnknown, "") }) }
 	switch {
@@ -217,10 +217,10 @@
 		w.after(callTimeout, unknown)
 		k, limits := w.workers[id], maps.Clone(w.limits)
 		w.after(time.Duration(w.Random.Float64()*float64(w.Faults.LateBy)), func() {
-			if k != nil && !k.over {
-				w.late, w.lateLimits = true, limits
+			if k != nil && !k.ended {
+				w.lateOrder, w.lateOrderLimits = true, limits
 				_ = carry(k)
-				w.late, w.lateLimits = false, nil
+				w.lateOrder, w.lateOrderLimits = false, nil
 			}
 		})
 		return
@@ -228,15 +228,15 @@
 	lost := w.chance(w.Faults.LoseAnswer)
 	w.after(orderDelay, func() {
 		k := w.workers[id]
-		if k == nil || k.silent || lost {
-			if k != nil && !k.over && !k.silent {
+		if k == nil || k.unreachable || lost {
+			if k != nil && !k.ended && !k.unreachable {
 				_ = carry(k)
 			}
 			w.after(callTimeout, unknown)
 			return
 		}
 		r, why := mfsched.ResultIncarnationEnded, mothferry.OrderRefusal("")
-		if !k.over {
+		if !k.ended {
 			r, why = resultOf(carry(k))
 		}
 		w.after(orderDelay, func() { o.do(func() { answered(r, why) }) })
@@ -251,7 +251,7 @@
 	return mfsched.ResultDone, ""
 }
 
-func (o *owner) look(v mfsched.Poll) {
+func (o *owner) sendPoll(v mfsched.Poll) {
 	w := o.world
 	sent := w.now
 	over := false
@@ -271,8 +271,8 @@
 	if w.chance(w.Faults.LateOrder) {
 		k := w.workers[id]
 		w.after(time.Duration(w.Random.Float64()*float64(w.Faults.LateBy)), func() {
-			if k != nil && !k.over && !k.silent {
-				_ = k.look(v.Order, func(mothferry.PollReport) {}, func() {})
+			if k != nil && !k.ended && !k.unreachable {
+				_ = k.poll(v.Order, func(mothferry.PollReport) {}, func() {})
 			}
 		})
 		return
@@ -281,11 +281,11 @@
 	w.after(orderDelay, func() {
 		k := w.workers[id]
 		switch {
-		case k == nil || k.silent:
-		case k.over:
+		case k == nil || k.unreachable:
+		case k.ended:
 			end(mfsched.PollFailed{Worker: id, Number: v.Number, Sent: sent, Result: mfsched.ResultIncarnationEnded})
 		default:
-			err := k.look(v.Order, func(r mothferry.PollReport) {
+			err := k.poll(v.Order, func(r mothferry.PollReport) {
 				if !lost {
 					w.after(orderDelay, func() { end(mfsched.PollAnswered{Worker: id, Number: v.Number, Sent: sent, Report: r}) })
 				}
--- a/mfemulate/seed_test.go
+++ b/mfemulate/seed_test.go
@@ -8,7 +8,7 @@
 )
 
 // Seeds that once failed.
-func TestKeptSeeds(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	for _, k := range []struct {
 		seed  uint64
@@ -19,13 +19,13 @@
 		{0xf3a7823530, "a start was carried out late, after an earlier run of the task had turned out done"},
 	} {
 		w := history(k.seed)
-		assert.Equal(t, len(w.Broken), 0, "%v (once: %s)", w.Broken, k.cause)
+		assert.Equal(t, len(w.Violations), 0, "%v (once: %s)", w.Violations, k.cause)
 		assert.Equal(t, w.Unfinished(), 0, k.cause)
 	}
 }
 
 // Seeds of histories with tasks that end their workers that once failed.
-func TestKeptCrashSeeds(t *testing.T) {
+func TestRegressionSeedsWithCrashingTasks(t *testing.T) {
 	t.Parallel()
 	for _, k := range []struct {
 		seed  uint64
@@ -40,23 +40,23 @@
 		{0x18114f3a, "a lasting task ended its workers before its starts were answered: no bound at all"},
 	} {
 		w := crashHistory(k.seed)
-		assert.Equal(t, len(w.Broken), 0, "%v (once: %s)", w.Broken, k.cause)
+		assert.Equal(t, len(w.Violations), 0, "%v (once: %s)", w.Violations, k.cause)
 		assert.Equal(t, w.Unfinished(), 0, k.cause)
 	}
 }
 
 // A task must not be started three times after its third crash because one of its runs failed between unsure crashes.
-func TestFailureBetweenUnsureCrashesAddsNoStart(t *testing.T) {
+func TestFailureBetweenUnresolvedCrashesAddsNoStart(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{0x6c0d8, 0x2660} {
 		w := crashHistory(seed)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 		assert.Equal(t, w.Unfinished(), 0)
 	}
 }
 
 // Seeds of histories with client accounts that once failed.
-func TestKeptAccountSeeds(t *testing.T) {
+func TestRegressionSeedsWithAccounts(t *testing.T) {
 	t.Parallel()
 	for _, k := range []struct {
 		seed  uint64
@@ -71,45 +71,45 @@
 		{0x2d, "starts decided before a limit was lowered were ordered again after it"},
 	} {
 		w := accountHistory(k.seed, rand.New(rand.NewPCG(k.seed, 3)))
-		assert.Equal(t, len(w.Broken), 0, "%v (once: %s)", w.Broken, k.cause)
+		assert.Equal(t, len(w.Violations), 0, "%v (once: %s)", w.Violations, k.cause)
 		assert.Equal(t, w.Unfinished(), 0, k.cause)
 	}
 }
 
 // Seeds of histories with lives under one id that once failed.
-func TestKeptLifeSeeds(t *testing.T) {
+func TestRegressionSeedsWithReusedWorkerIDs(t *testing.T) {
 	t.Parallel()
 	w := sameIDHistory(0x203)
-	assert.Equal(t, len(w.Broken), 0, "%v (once: an entry ended a life whose successor had taken orders meant for it)", w.Broken)
+	assert.Equal(t, len(w.Violations), 0, "%v (once: an entry ended a life whose successor had taken orders meant for it)", w.Violations)
 	assert.Equal(t, w.Unfinished(), 0)
 }
 
 // Seeds of histories with many takeovers that once failed.
-func TestKeptTakeoverSeeds(t *testing.T) {
+func TestRegressionSeedsWithManyTakeovers(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{0x4c93400c2a1b6f48, 0xa41c3f, 0x10cd45e9} {
 		w := takeoverHistory(seed)
-		assert.Assert(t, w.Figures.EmptyLogs > 1, "the log was never empty after the first takeover")
-		assert.Equal(t, len(w.Broken), 0, "%v (once: rows of the log counted as older than own rows that they followed, after the log was empty)", w.Broken)
+		assert.Assert(t, w.Stats.EmptyLogs > 1, "the log was never empty after the first takeover")
+		assert.Equal(t, len(w.Violations), 0, "%v (once: rows of the log counted as older than own rows that they followed, after the log was empty)", w.Violations)
 		assert.Equal(t, w.Unfinished(), 0)
 	}
 }
 
 // Seeds of histories with upkeep that failed while nothing kept lasting tasks from being stopped.
-func TestKeptUpkeepSeeds(t *testing.T) {
+func TestRegressionSeedsWithMaintenance(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{0x7e, 0xa41c3f, 0x2} {
-		w := upkeepHistory(seed)
-		assert.Assert(t, w.Figures.Upkeeps > 0)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+		w := maintenanceHistory(seed)
+		assert.Assert(t, w.Stats.Maintenances > 0)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 		assert.Equal(t, w.Unfinished(), 0)
 	}
 }
 
 // A stop must not end a lasting task while as many others of its step are away as may be.
-func TestUpkeepStopsNoTaskWhileOthersAreAway(t *testing.T) {
+func TestMaintenanceStopsNoTaskWhileOthersAreUnavailable(t *testing.T) {
 	t.Parallel()
-	w := upkeepHistory(0xf216)
-	assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+	w := maintenanceHistory(0xf216)
+	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	assert.Equal(t, w.Unfinished(), 0)
 }
--- a/mfemulate/share_test.go
+++ b/mfemulate/share_test.go
@@ -17,7 +17,7 @@
 // ten seconds, so that the pool is asked for more than twice what it can do. Served in one
 // order whoever sent them, the jobs that nobody is owed made half of the other account's
 // late. The aim: nine tenths of what is within an account's rate is in time all the same.
-func TestAccountBeyondItsRateMakesOnlyItselfLate(t *testing.T) {
+func TestAccountOverItsRateDelaysOnlyItself(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		w := &mfemulate.World{
@@ -39,9 +39,9 @@
 		send("steady", 7)
 		send("eager", 36)
 		w.Run(40 * time.Second)
-		steady, eager := w.InTime("steady"), w.InTime("eager")
+		steady, eager := w.OnTimeFraction("steady"), w.OnTimeFraction("eager")
 		t.Logf("seed %d: in time %.2f of the steady account's jobs, %.2f of the eager one's", seed+1, steady, eager)
-		assert.Equal(t, len(w.Broken), 0)
+		assert.Equal(t, len(w.Violations), 0)
 		assert.Assert(t, steady >= 0.9)
 		assert.Equal(t, w.Unfinished(), 0, "what is beyond the rate runs too")
 	}
--- a/mfemulate/sum.go
+++ b/mfemulate/sum.go
@@ -14,45 +14,45 @@
 // A job's worth: a part of its own, and a part by its work against the mean of
 // its queue, up to some times as much.
 const (
-	worthOwn  = 0.3
-	worthWork = 0.7
-	worthMost = 4
+	baseWeight = 0.3
+	workWeight = 0.7
+	maxWeight  = 4
 )
 
-// result is one job's end.
-type result struct {
+// jobResult is one job's end.
+type jobResult struct {
 	work   float64
-	inTime bool
+	onTime bool
 }
 
-// Sum counts how jobs ended, by each queue's objective.
-func (w *World) Sum() Figures {
-	f := w.Figures
+// Summarize counts how jobs ended, by each queue's objective.
+func (w *World) Summarize() Stats {
+	f := w.Stats
 	f.MachineSeconds = math.Round(f.MachineSeconds)
-	f.Broken = len(w.Broken)
-	byQueue := map[mothferry.QueueID][]result{}
+	f.Violations = len(w.Violations)
+	byQueue := map[mothferry.QueueID][]jobResult{}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
 		c := w.jobs[id]
-		if c.submission.Lasts() || !c.cancelled.IsZero() || c.crashing != nil {
+		if c.submission.Lasts() || !c.cancelled.IsZero() || c.crashingTask != nil {
 			// Of a job that can't be done nobody expects anything.
 			continue
 		}
 		f.Jobs++
-		inTime := f.count(c, w.objective(c))
+		inTime := f.countJob(c, w.objective(c))
 		q := c.submission.Queue
-		byQueue[q] = append(byQueue[q], result{work: c.work(), inTime: inTime})
+		byQueue[q] = append(byQueue[q], jobResult{work: c.work(), onTime: inTime})
 	}
-	f.weigh(byQueue)
+	f.scoreQueues(byQueue)
 	return f
 }
 
-func (w *World) objective(c *caller) time.Duration {
+func (w *World) objective(c *jobRecord) time.Duration {
 	q := w.Queues[c.submission.Queue]
-	return mfjob.Objective(q.Stretch, q.Latency, c.chain())
+	return mfjob.Objective(q.Stretch, q.Latency, c.criticalPath())
 }
 
-// count counts one job and reports whether it was in time.
-func (f *Figures) count(c *caller, aim time.Duration) bool {
+// countJob counts one job and reports whether it was in time.
+func (f *Stats) countJob(c *jobRecord, aim time.Duration) bool {
 	took := c.completed.Sub(c.submission.Accepted)
 	switch {
 	case c.state == mfjob.StateFailed:
@@ -60,7 +60,7 @@
 	case c.state != mfjob.StateCompleted:
 		f.TooLate++
 	case took <= aim:
-		f.InTime++
+		f.OnTime++
 		return true
 	case took <= mfjob.LateFactor*aim:
 		f.Late++
@@ -71,7 +71,7 @@
 }
 
 // work returns a job's work in core-seconds.
-func (c *caller) work() float64 {
+func (c *jobRecord) work() float64 {
 	sum := 0.0
 	for _, s := range c.submission.Steps {
 		sum += float64(s.Count) * float64(s.Need.Cores) / 1000 * s.Estimate.Seconds()
@@ -79,44 +79,44 @@
 	return sum
 }
 
-func (f *Figures) weigh(byQueue map[mothferry.QueueID][]result) {
+func (f *Stats) scoreQueues(byQueue map[mothferry.QueueID][]jobResult) {
 	owed, earned, wide, wideInTime := 0.0, 0.0, 0, 0
-	f.Queues = map[mothferry.QueueID]float64{}
+	f.OnTimeByQueue = map[mothferry.QueueID]float64{}
 	for _, q := range slices.Sorted(maps.Keys(byQueue)) {
 		jobs := byQueue[q]
-		slices.SortFunc(jobs, func(a, b result) int { return cmp.Compare(b.work, a.work) })
+		slices.SortFunc(jobs, func(a, b jobResult) int { return cmp.Compare(b.work, a.work) })
 		mean, queueInTime := 0.0, 0
 		for _, j := range jobs {
-			if j.inTime {
+			if j.onTime {
 				queueInTime++
 			}
 			mean += j.work / float64(len(jobs))
 		}
-		f.Queues[q] = float64(queueInTime) / float64(len(jobs))
+		f.OnTimeByQueue[q] = float64(queueInTime) / float64(len(jobs))
 		for i, j := range jobs {
-			worth := min(worthMost, worthOwn+worthWork*j.work/mean)
+			worth := min(maxWeight, baseWeight+workWeight*j.work/mean)
 			owed += worth
-			if j.inTime {
+			if j.onTime {
 				earned += worth
 			}
 			if i < (len(jobs)+9)/10 {
 				wide++
-				if j.inTime {
+				if j.onTime {
 					wideInTime++
 				}
 			}
 		}
 	}
 	if owed > 0 {
-		f.Worth = earned / owed
+		f.WeightedOnTime = earned / owed
 	}
 	if wide > 0 {
-		f.Wide = float64(wideInTime) / float64(wide)
+		f.LargestOnTime = float64(wideInTime) / float64(wide)
 	}
 }
 
-// InTime returns the part of an account's jobs that were completed in time.
-func (w *World) InTime(account mothferry.AccountID) float64 {
+// OnTimeFraction returns the part of an account's jobs that were completed in time.
+func (w *World) OnTimeFraction(account mothferry.AccountID) float64 {
 	jobs, inTime := 0, 0
 	for _, c := range w.jobs {
 		if c.submission.Account != account {
--- a/mfemulate/uneven_test.go
+++ b/mfemulate/uneven_test.go
@@ -14,9 +14,9 @@
 	"mothferry/mfsched"
 )
 
-// uneven plays a load over some seeds, with and without the feature, and returns the mean
+// playDegraded plays a load over some seeds, with and without the feature, and returns the mean
 // worth in time of each.
-func uneven(t *testing.T, file string, data []byte) (on, off float64) {
+func playDegraded(t *testing.T, file string, data []byte) (on, off float64) {
 	t.Helper()
 	load, err := mfemulate.DecodeLoad(file, data)
 	assert.NilError(t, err)
@@ -26,8 +26,8 @@
 		without := mfemulate.Play(load, mfemulate.Options{
 			Limits: limits(), Seed: seed, Off: mothferry.FeaturesOff{mothferry.FeatureStragglers: true},
 		})
-		assert.Equal(t, with.Broken+without.Broken, 0)
-		on, off = on+with.Worth/seeds, off+without.Worth/seeds
+		assert.Equal(t, with.Violations+without.Violations, 0)
+		on, off = on+with.WeightedOnTime/seeds, off+without.WeightedOnTime/seeds
 	}
 	t.Logf("%s: worth in time %.3f, without stragglers %.3f", file, on, off)
 	return on, off
@@ -35,49 +35,49 @@
 
 // The load at its worst: a quarter of the workers turns five times slower, and nearly each job
 // has a task on one of them.
-func TestSlowWorkersHoldFewJobsUp(t *testing.T) {
+func TestSlowWorkersDelayFewJobs(t *testing.T) {
 	t.Parallel()
-	on, off := uneven(t, "slow.yaml", mfexample.Slow)
+	on, off := playDegraded(t, "slow.yaml", mfexample.Slow)
 	assert.Assert(t, on > off+0.15, "%.3f, %.3f without", on, off)
 }
 
 // The load at its worst: an eighth of the workers hangs half of the tasks that it starts.
-func TestHangingWorkersHoldFewJobsUp(t *testing.T) {
+func TestHangingWorkersDelayFewJobs(t *testing.T) {
 	t.Parallel()
-	on, off := uneven(t, "hanging.yaml", mfexample.Hanging)
+	on, off := playDegraded(t, "hanging.yaml", mfexample.Hanging)
 	assert.Assert(t, on > off+0.05, "%.3f, %.3f without", on, off)
 }
 
 // Histories of faults in which workers turn slow and hang tasks for a while: the same holds as
 // in all, and what is stopped for being behind comes to an end.
-func TestHistoriesWithUnevenWorkers(t *testing.T) {
+func TestHistoriesWithDegradedWorkers(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		w := unevenHistory(seed, nil)
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.Describe())
+		w := degradedHistory(seed, nil)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
+		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
 	})
 }
 
-func unevenHistory(seed uint64, watch func(mfsched.Decision)) *mfemulate.World {
+func degradedHistory(seed uint64, watch func(mfsched.Decision)) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 11))
-	return newHistory(seed, historyKind{
-		jobs:     3 * usualJobs,
+	return newHistory(seed, historyOptions{
+		jobs:     3 * defaultJobs,
 		accounts: true, speculative: true,
-		further: func(*mfemulate.Faults) {},
+		addFaults: func(*mfemulate.Faults) {},
 		prepare: func(w *mfemulate.World) {
 			if watch != nil {
-				w.Watch = func(_ time.Duration, d mfsched.Decision) { watch(d) }
+				w.OnDecision = func(_ time.Duration, d mfsched.Decision) { watch(d) }
 			}
-			w.Estimates = mfemulate.Estimates{Off: 0.5, Spread: 0.2, Tail: 0.03, TailTimes: 5}
+			w.Estimates = mfemulate.EstimateErrors{QueueError: 0.5, TaskSpread: 0.2, TailFraction: 0.03, TailFactor: 5}
 			for range 2 + r.IntN(6) {
 				at, d := time.Duration(r.Int64N(int64(20*time.Second))), time.Duration(r.Int64N(int64(10*time.Second)))
 				index, times, part := r.IntN(13), 2+8*r.Float64(), r.Float64()
 				if r.IntN(3) > 0 {
-					w.At(at, func() { w.Slow(index, times, d) })
+					w.At(at, func() { w.SlowWorker(index, times, d) })
 				} else {
-					w.At(at, func() { w.Hang(index, part, d) })
+					w.At(at, func() { w.HangWorker(index, part, d) })
 				}
 			}
 		},
@@ -85,11 +85,11 @@
 }
 
 // Guards against histories in which nothing is behind, so that nothing of it is tested.
-func TestUnevenHistoriesRestartTasks(t *testing.T) {
+func TestDegradedHistoriesRelocateTasks(t *testing.T) {
 	t.Parallel()
 	restarted, slow, copied := 0, 0, 0
 	for seed := range uint64(6) {
-		w := unevenHistory(seed, func(d mfsched.Decision) {
+		w := degradedHistory(seed, func(d mfsched.Decision) {
 			switch d.Message {
 			case mfsched.MessageRestarted:
 				restarted++
@@ -99,14 +99,14 @@
 				slow++
 			}
 		})
-		assert.Equal(t, len(w.Broken), 0, "%v", w.Broken)
+		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	}
 	t.Logf("%d tasks started elsewhere, %d were copied, %d times a worker was slow", restarted, copied, slow)
 	assert.Assert(t, restarted > 0 && copied > 0 && slow > 0)
 }
 
 // Seeds of histories with uneven workers that once failed.
-func TestKeptUnevenSeeds(t *testing.T) {
+func TestRegressionSeedsWithDegradedWorkers(t *testing.T) {
 	t.Parallel()
 	for _, k := range []struct {
 		seed  uint64
@@ -116,8 +116,8 @@
 		{0xb0, "the same"},
 		{0x61c, "the check of a start counted a run twice whose worker had run the task before, and took its copy for a third run"},
 	} {
-		w := unevenHistory(k.seed, nil)
-		assert.Equal(t, len(w.Broken), 0, "%v (once: %s)", w.Broken, k.cause)
+		w := degradedHistory(k.seed, nil)
+		assert.Equal(t, len(w.Violations), 0, "%v (once: %s)", w.Violations, k.cause)
 		assert.Equal(t, w.Unfinished(), 0, k.cause)
 	}
 }
