--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -212,10 +212,10 @@
 	})
 	d.entry = &mfentry.Handler{
 		DataCentre: s.DataCentre, Store: d.store, Router: d.router, Ledger: d.ledger, Mesh: d.mesh,
-		Transports: &mfentry.Transports{Connect: s.Timing.Connect, HeaderBytes: int64(s.Limits.HeaderBytes)},
+		Transports: &mfentry.Transports{ConnectTimeout: s.Timing.Connect, MaxHeaderBytes: int64(s.Limits.HeaderBytes)},
 		Clock:      d.Clock, Random: d.Random, Observer: d.metrics, Log: d.Logs.Part("entry"), NewToken: NewToken,
-		BufferBytes: s.Limits.BufferBytes, BodyBytes: s.Limits.BodyBytes,
-		EntryHosts: len(s.EntryHosts()), PeerBound: d.peerTimeout(), Confirmed: d.follower.Confirmed, Notice: s.Timing.Notice,
+		BufferBytes: s.Limits.BufferBytes, MaxBodyBytes: s.Limits.BodyBytes,
+		EntryHostCount: len(s.EntryHosts()), PeerTimeout: d.peerTimeout(), Confirmed: d.follower.Confirmed, Notice: s.Timing.Notice,
 	}
 	d.follower.SetOffers(d.router)
 	mux := http.NewServeMux()
@@ -306,7 +306,7 @@
 func (d *Daemon) stop() {
 	d.log.WithField("in_flight", d.InFlight()).Info("Daemon is stopping.")
 	d.stopping.Store(true)
-	d.entry.Stopping()
+	d.entry.BeginShutdown()
 	d.follower.SetStopping()
 	<-d.Clock.After(d.Settings.Timing.Unready)
 	ctx, cancel := context.WithTimeout(context.Background(), d.longestDeadline()+stopGrace)
--- a/mfentry/attempt.go
+++ b/mfentry/attempt.go
@@ -37,13 +37,13 @@
 // attempt sends a request to one upstream and returns its answer's header, or
 // how it failed.
 func (h *Handler) attempt(ctx context.Context, q *request, u upstream) (*http.Response, *failure) {
-	var seen evidence
+	var seen connectionTracker
 	outgoing := q.outgoing(seen.trace(ctx), u)
 	response, err := u.transport.RoundTrip(outgoing)
 	if err != nil {
-		return nil, classify(ctx, &seen, err)
+		return nil, classifyError(ctx, &seen, err)
 	}
-	if refusal := refused(response, u); refusal != nil {
+	if refusal := refusalOf(response, u); refusal != nil {
 		_ = response.Body.Close()
 		return nil, refusal
 	}
@@ -60,8 +60,8 @@
 	return nothingSent || refusal != nil
 }
 
-// classify turns a transport's error into a failure.
-func classify(ctx context.Context, seen *evidence, err error) *failure {
+// classifyError turns a transport's error into a failure.
+func classifyError(ctx context.Context, seen *connectionTracker, err error) *failure {
 	picked, fresh := seen.connections()
 	f := &failure{notRun: provesNotRun(seen.nothingSent(), nil), err: err, reason: mothferry.ReasonConnectionLost, result: mfroute.ResultLost}
 	switch {
@@ -90,10 +90,10 @@
 
 // connections reports whether a connection was picked, and whether the last
 // one was opened for this request.
-func (e *evidence) connections() (picked, fresh bool) {
+func (e *connectionTracker) connections() (picked, fresh bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return len(e.marks) > 0, e.fresh
+	return len(e.uses) > 0, e.fresh
 }
 
 // isOwnNetwork reports errors of this host's own network or descriptors. They
@@ -125,9 +125,9 @@
 	return errors.As(err, &body)
 }
 
-// refused returns a failure if the upstream says that it did not run the
+// refusalOf returns a failure if the upstream says that it did not run the
 // request. A 503 without that word is the application's own answer.
-func refused(r *http.Response, u upstream) *failure {
+func refusalOf(r *http.Response, u upstream) *failure {
 	f := &failure{notRun: true, reason: mothferry.ReasonRefused, result: mfroute.ResultBusy}
 	refusal := mothferry.Refusal("")
 	if r.StatusCode == http.StatusServiceUnavailable {
@@ -158,8 +158,8 @@
 // counts as safe, yet may not be repeated here, gets an opaque empty body.
 func (q *request) outgoing(ctx context.Context, u upstream) *http.Request {
 	header := q.header.Clone()
-	hideKey(header, mothferry.HeaderKey)
-	hideKey(header, "X-Idempotency-Key")
+	hideHeader(header, mothferry.HeaderKey)
+	hideHeader(header, "X-Idempotency-Key")
 	header.Set(mothferry.HeaderRequestID, string(q.id))
 	if deadline, ok := ctx.Deadline(); ok && u.peer {
 		header.Set(mothferry.HeaderTimeout, time.Until(deadline).String())
@@ -185,9 +185,9 @@
 	}
 	switch {
 	case q.stream != nil:
-		out.Body, out.ContentLength = bodyOf(q.stream), q.length
+		out.Body, out.ContentLength = newCallerBody(q.stream), q.length
 	case len(q.body) > 0:
-		out.Body, out.ContentLength = bodyOf(&onceBody{reader: bytes.NewReader(q.body)}), int64(len(q.body))
+		out.Body, out.ContentLength = newCallerBody(&onceBody{reader: bytes.NewReader(q.body)}), int64(len(q.body))
 	case !q.repeatable && safeMethod(q.method):
 		out.Body = &onceBody{reader: bytes.NewReader(nil)}
 	}
@@ -206,7 +206,7 @@
 	return n, err
 }
 
-func bodyOf(b *onceBody) callerBody { return callerBody{b} }
+func newCallerBody(b *onceBody) callerBody { return callerBody{b} }
 
 // safeMethod reports the methods whose bodiless requests Transport repeats by itself.
 func safeMethod(method string) bool {
@@ -217,8 +217,8 @@
 	return false
 }
 
-// hideKey moves a field to a spelling that Transport does not recognise.
-func hideKey(header http.Header, name string) {
+// hideHeader moves a field to a spelling that Transport does not recognise.
+func hideHeader(header http.Header, name string) {
 	values, ok := header[name]
 	if !ok {
 		return
--- a/mfentry/bench_test.go
+++ b/mfentry/bench_test.go
@@ -15,7 +15,7 @@
 // BenchmarkHandler measures one request through the handler to an upstream
 // that costs next to nothing, without the caller's side of HTTP.
 func BenchmarkHandler(b *testing.B) {
-	address := scripted(b, func(c net.Conn) {
+	address := startScripted(b, func(c net.Conn) {
 		reader := bufio.NewReader(c)
 		for {
 			line, err := reader.ReadSlice('\n')
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	h, _, _ := entry(b, address)
+	h, _, _ := newEntry(b, address)
 	h.Router = unlimited{address}
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
--- a/mfentry/connection.go
+++ b/mfentry/connection.go
@@ -58,53 +58,53 @@
 	return true
 }
 
-// evidence collects, for one attempt, the connections the transport picked.
-type evidence struct {
+// connectionTracker collects, for one attempt, the connections the transport picked.
+type connectionTracker struct {
 	mutex sync.Mutex
-	marks []mark
+	uses  []connectionUse
 	// fresh tells that the last connection was opened for this request.
 	fresh bool
-	// closed refuses connections that the transport picks after the verdict.
-	closed bool
+	// decided refuses connections that the transport picks after the verdict.
+	decided bool
 }
 
-type mark struct {
+type connectionUse struct {
 	connection *connection
 	written    int64
 }
 
 // trace returns ctx with the hooks that feed e.
-func (e *evidence) trace(ctx context.Context) context.Context {
+func (e *connectionTracker) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { e.picked(info.Conn, !info.Reused) },
 	})
 }
 
-func (e *evidence) picked(n net.Conn, fresh bool) {
+func (e *connectionTracker) picked(n net.Conn, fresh bool) {
 	c, ok := n.(*connection)
 	if !ok {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.closed {
+	if e.decided {
 		c.seal(c.count())
 		_ = c.Close()
 		return
 	}
 	e.fresh = fresh
-	e.marks = append(e.marks, mark{connection: c, written: c.count()})
+	e.uses = append(e.uses, connectionUse{connection: c, written: c.count()})
 }
 
 // nothingSent proves, if it returns true, that no byte of the request has
 // been or will be written: no connection was picked, or each that was is
 // sealed at the count it had when it was picked.
-func (e *evidence) nothingSent() bool {
+func (e *connectionTracker) nothingSent() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.closed = true
+	e.decided = true
 	proven := true
-	for _, m := range e.marks {
+	for _, m := range e.uses {
 		if m.connection.seal(m.written) {
 			_ = m.connection.Close()
 		} else {
@@ -120,10 +120,10 @@
 
 // Transports makes the transports to runners, one for each limit of connections.
 type Transports struct {
-	// Connect bounds the opening of a connection.
-	Connect time.Duration
-	// HeaderBytes bounds the header of an answer.
-	HeaderBytes int64
+	// ConnectTimeout bounds the opening of a connection.
+	ConnectTimeout time.Duration
+	// MaxHeaderBytes bounds the header of an answer.
+	MaxHeaderBytes int64
 
 	mutex      sync.Mutex
 	transports map[int]*http.Transport
@@ -139,13 +139,13 @@
 	if t.transports == nil {
 		t.transports = map[int]*http.Transport{}
 	}
-	dialer := &net.Dialer{Timeout: t.Connect}
+	dialer := &net.Dialer{Timeout: t.ConnectTimeout}
 	k := newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, network, address)
 	})
 	k.MaxConnsPerHost = limit
 	k.MaxIdleConnsPerHost = limit
-	k.MaxResponseHeaderBytes = t.HeaderBytes
+	k.MaxResponseHeaderBytes = t.MaxHeaderBytes
 	t.transports[limit] = k
 	return k
 }
--- a/mfentry/dispatch.go
+++ b/mfentry/dispatch.go
@@ -16,51 +16,51 @@
 	"mothferry/mfroute"
 )
 
-// maxTries bounds how often one request is sent, whatever the reasons.
-const maxTries = 4
+// maxAttempts bounds how often one request is sent, whatever the reasons.
+const maxAttempts = 4
 
-// confirmPause is how often a request that waits for the placements to be
+// confirmPollInterval is how often a request that waits for the placements to be
 // compared looks again.
-const confirmPause = 5 * time.Millisecond
+const confirmPollInterval = 5 * time.Millisecond
 
-// spillTries bounds the peers that are asked to take over one request.
-const spillTries = 2
+// maxSpillAttempts bounds the peers that are asked to take over one request.
+const maxSpillAttempts = 2
 
 // attempts is what became of a request's tries so far.
 type attempts struct {
 	// tried are the runners that are not to be tried again.
 	tried map[mothferry.TaskID]bool
 	last  *failure
-	// ran is the first failure after which the request may have run.
-	ran *failure
+	// mayHaveRun is the first failure after which the request may have run.
+	mayHaveRun *failure
 }
 
 func (a *attempts) add(task mothferry.TaskID, f *failure) {
 	a.last = f
-	if a.ran == nil && !f.notRun {
-		a.ran = f
+	if a.mayHaveRun == nil && !f.notRun {
+		a.mayHaveRun = f
 	}
 	if f.result != mfroute.ResultBusy {
 		a.tried[task] = true
 	}
 }
 
-// told returns the failure that ends the request; nil if nothing was tried. A
+// finalFailure returns the failure that ends the request; nil if nothing was tried. A
 // try that may have run the request outweighs every later one: a request that
 // may be repeated, was cut off at one runner and refused by the next, is not
 // one that did not run.
-func (a *attempts) told() *failure {
-	if a.ran != nil {
-		return a.ran
+func (a *attempts) finalFailure() *failure {
+	if a.mayHaveRun != nil {
+		return a.mayHaveRun
 	}
 	return a.last
 }
 
 // dispatch brings a request to an answer, or to an ErrNotRun or ErrOutcomeUnknown.
-func (h *Handler) dispatch(ctx context.Context, q *request) (*answer, error) {
+func (h *Handler) dispatch(ctx context.Context, q *request) (*upstreamResponse, error) {
 	past := &attempts{tried: map[mothferry.TaskID]bool{}}
-	for try := 0; try < maxTries; {
-		h.confirmed(ctx)
+	for try := 0; try < maxAttempts; {
+		h.waitConfirmed(ctx)
 		lease, err := h.Router.Acquire(ctx, q.service, mfroute.Request{
 			Customer: q.customer, Priority: q.priority, Exclude: past.tried,
 			Again: try > 0, Retry: try > 0 && past.last.reason != mothferry.ReasonRefused,
@@ -68,11 +68,11 @@
 		if err != nil {
 			return h.withoutRunner(ctx, q, past, err)
 		}
-		a, f := h.try(ctx, q, lease)
+		a, f := h.tryRunner(ctx, q, lease)
 		if f == nil {
 			return a, nil
 		}
-		if f.reason == mothferry.ReasonStaleView && mfclock.Sleep(ctx, h.Clock, confirmPause) {
+		if f.reason == mothferry.ReasonStaleView && mfclock.Sleep(ctx, h.Clock, confirmPollInterval) {
 			// Nothing was sent.
 			continue
 		}
@@ -82,27 +82,27 @@
 			break
 		}
 	}
-	return nil, h.ended(past.told())
+	return nil, h.endError(past.finalFailure())
 }
 
 // mayTryAgain reports whether a request may be sent once more: it provably
 // did not run, or may run more than once; and its body is still there.
 func (q *request) mayTryAgain(f *failure) bool {
-	if !q.held() && q.stream.used {
+	if !q.buffered() && q.stream.used {
 		return false
 	}
 	return f.notRun || q.repeatable
 }
 
-// try sends a request to one runner.
-func (h *Handler) try(ctx context.Context, q *request, lease *mfroute.Lease) (*answer, *failure) {
-	if f := h.stale(q, lease.Task); f != nil {
+// tryRunner sends a request to one runner.
+func (h *Handler) tryRunner(ctx context.Context, q *request, lease *mfroute.Lease) (*upstreamResponse, *failure) {
+	if f := h.checkStale(q, lease.Task); f != nil {
 		h.Router.Release(q.service, lease, f.result)
 		return nil, f
 	}
-	u := upstream{transport: h.Transports.get(h.connections(lease)), address: lease.Address, runner: lease.Task}
+	u := upstream{transport: h.Transports.get(h.connectionLimit(lease)), address: lease.Address, runner: lease.Task}
 	response, f := h.attempt(ctx, q, u)
-	var a *answer
+	var a *upstreamResponse
 	if f == nil {
 		a, f = h.receive(ctx, q, response)
 	}
@@ -113,7 +113,7 @@
 		return nil, f
 	}
 	leaving := a.header.Get(mothferry.HeaderLeaving) != ""
-	a.settle = func(result mfroute.Result) {
+	a.release = func(result mfroute.Result) {
 		if leaving && result == mfroute.ResultAnswered {
 			result = mfroute.ResultLeaving
 		}
@@ -123,12 +123,12 @@
 	return a, nil
 }
 
-// stale returns a failure if the request or the placements that it was given
+// checkStale returns a failure if the request or the placements that it was given
 // a runner from are too old to send anything by. Both happen to a daemon that
 // was paused: its caller was told of the deadline or will be, and the runner
 // may have left meanwhile. The router takes newer placements in a moment after they
 // are in force.
-func (h *Handler) stale(q *request, runner mothferry.TaskID) *failure {
+func (h *Handler) checkStale(q *request, runner mothferry.TaskID) *failure {
 	now := h.Clock.Now()
 	switch {
 	case !now.Before(q.deadline):
@@ -139,10 +139,10 @@
 	return nil
 }
 
-// confirmed waits until the placements in force have been compared with
+// waitConfirmed waits until the placements in force have been compared with
 // others' lately enough.
-func (h *Handler) confirmed(ctx context.Context) {
-	for h.Clock.Now().Sub(h.Confirmed()) > h.Notice && mfclock.Sleep(ctx, h.Clock, confirmPause) {
+func (h *Handler) waitConfirmed(ctx context.Context) {
+	for h.Clock.Now().Sub(h.Confirmed()) > h.Notice && mfclock.Sleep(ctx, h.Clock, confirmPollInterval) {
 		continue
 	}
 }
@@ -154,17 +154,17 @@
 	})
 }
 
-// connections returns this daemon's part of a runner's connections. All entry
+// connectionLimit returns this daemon's part of a runner's connections. All entry
 // hosts count, also those that are down: a limit that followed the membership
 // would be overrun while one of them returns.
-func (h *Handler) connections(lease *mfroute.Lease) int {
-	return max(int(lease.Connections)/max(h.EntryHosts, 1), 1)
+func (h *Handler) connectionLimit(lease *mfroute.Lease) int {
+	return max(int(lease.Connections)/max(h.EntryHostCount, 1), 1)
 }
 
 // withoutRunner ends a request for which no runner of this data centre was
 // had: another data centre may serve it. If nothing replaces an earlier
 // failure, that failure is what the caller is told.
-func (h *Handler) withoutRunner(ctx context.Context, q *request, past *attempts, err error) (*answer, error) {
+func (h *Handler) withoutRunner(ctx context.Context, q *request, past *attempts, err error) (*upstreamResponse, error) {
 	var refusal *mothferry.ErrNotRun
 	noRunner := errors.As(err, &refusal) && refusal.Reason == mothferry.ReasonNoRunner
 	if noRunner && q.hops == 0 && (past.last == nil || q.mayTryAgain(past.last)) {
@@ -172,12 +172,12 @@
 		if f == nil {
 			return a, nil
 		}
-		if !f.notRun && past.ran == nil {
-			return nil, h.ended(f)
+		if !f.notRun && past.mayHaveRun == nil {
+			return nil, h.endError(f)
 		}
 	}
-	if told := past.told(); told != nil {
-		return nil, h.ended(told)
+	if told := past.finalFailure(); told != nil {
+		return nil, h.endError(told)
 	}
 	return nil, err
 }
@@ -186,10 +186,10 @@
 // has a place, one data centre after the other. Which of them have runners
 // free is not told around: with most services idle and most data centres well,
 // asking costs less than telling.
-func (h *Handler) spill(ctx context.Context, q *request) (*answer, *failure) {
+func (h *Handler) spill(ctx context.Context, q *request) (*upstreamResponse, *failure) {
 	last := &failure{notRun: true, reason: mothferry.ReasonNoRunner}
 	for i, p := range h.spillPeers(q.document.Place.DataCentres) {
-		if i >= spillTries || ctx.Err() != nil || !q.held() && q.stream.used {
+		if i >= maxSpillAttempts || ctx.Err() != nil || !q.buffered() && q.stream.used {
 			break
 		}
 		a, f := h.spillTo(ctx, q, p)
@@ -204,7 +204,7 @@
 	return nil, last
 }
 
-func (h *Handler) spillTo(ctx context.Context, q *request, p mothferry.DaemonID) (*answer, *failure) {
+func (h *Handler) spillTo(ctx context.Context, q *request, p mothferry.DaemonID) (*upstreamResponse, *failure) {
 	transport := newTransport(func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return h.Mesh.DialSpill(ctx, p, q.hops+1)
 	})
@@ -218,14 +218,14 @@
 		return nil, f
 	}
 	a.peer = true
-	a.settle = func(mfroute.Result) {}
+	a.release = func(mfroute.Result) {}
 	return a, nil
 }
 
 // spillPeers returns one live daemon of each other data centre, in random order.
 func (h *Handler) spillPeers(centres []mothferry.DataCentre) []mothferry.DaemonID {
 	live := map[mothferry.DataCentre][]mothferry.DaemonID{}
-	for _, s := range h.Mesh.Live(h.PeerBound) {
+	for _, s := range h.Mesh.Live(h.PeerTimeout) {
 		live[s.Peer.DataCentre] = append(live[s.Peer.DataCentre], s.Peer.Daemon)
 	}
 	var peers []mothferry.DaemonID
@@ -241,17 +241,17 @@
 	return peers
 }
 
-// ended turns the last failure of a request into the error that ends it.
-func (h *Handler) ended(f *failure) error {
+// endError turns the last failure of a request into the error that ends it.
+func (h *Handler) endError(f *failure) error {
 	if f.notRun {
-		return &mothferry.ErrNotRun{Reason: f.reason, RetryAfter: h.comeBack(), Err: f.err}
+		return &mothferry.ErrNotRun{Reason: f.reason, RetryAfter: h.retryDelay(), Err: f.err}
 	}
 	return &mothferry.ErrOutcomeUnknown{Reason: f.reason, Err: f.err}
 }
 
-// comeBack returns when to come back after a failure that is expected to be
+// retryDelay returns when to come back after a failure that is expected to be
 // short, spread so that callers do not return together.
-func (h *Handler) comeBack() time.Duration {
+func (h *Handler) retryDelay() time.Duration {
 	return time.Duration((0.5 + h.Random.Float64()) * float64(time.Second))
 }
 
--- a/mfentry/handler.go
+++ b/mfentry/handler.go
@@ -32,10 +32,10 @@
 // Ledger guards keyed requests.
 type Ledger interface {
 	Claim(ctx context.Context, key mfledger.Key, digest mfledger.Digest, until time.Time) (*mfledger.Claim, *mfledger.Answer, error)
-	Answered(ctx context.Context, c *mfledger.Claim, a mfledger.Answer)
-	AnsweredTooLarge(ctx context.Context, c *mfledger.Claim)
-	Unknown(ctx context.Context, c *mfledger.Claim)
-	NotRun(ctx context.Context, c *mfledger.Claim)
+	RecordAnswer(ctx context.Context, c *mfledger.Claim, a mfledger.Answer)
+	RecordAnswerTooLarge(ctx context.Context, c *mfledger.Claim)
+	RecordUnknown(ctx context.Context, c *mfledger.Claim)
+	ReleaseClaim(ctx context.Context, c *mfledger.Claim)
 }
 
 // Observer is told how each request ended.
@@ -58,12 +58,12 @@
 	// NewToken makes request ids.
 	NewToken func() mothferry.Token
 	// BufferBytes bounds what is held of a body or answer, BodyBytes a whole body.
-	BufferBytes mothferry.Bytes
-	BodyBytes   mothferry.Bytes
-	// EntryHosts is the number of daemons of this data centre.
-	EntryHosts int
-	// PeerBound is how long ago a peer may have been heard to count as live.
-	PeerBound time.Duration
+	BufferBytes  mothferry.Bytes
+	MaxBodyBytes mothferry.Bytes
+	// EntryHostCount is the number of daemons of this data centre.
+	EntryHostCount int
+	// PeerTimeout is how long ago a peer may have been heard to count as live.
+	PeerTimeout time.Duration
 	// Confirmed returns when the placements in force were last compared with
 	// others'; requests wait while that is longer ago than Notice.
 	Confirmed func() time.Time
@@ -73,9 +73,9 @@
 	inFlight atomic.Int64
 }
 
-// Stopping makes every answer from now on close its connection, so that
+// BeginShutdown makes every answer from now on close its connection, so that
 // callers who keep connections alive move to other entry hosts by themselves.
-func (h *Handler) Stopping() { h.stopping.Store(true) }
+func (h *Handler) BeginShutdown() { h.stopping.Store(true) }
 
 // InFlight returns how many requests are in work.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
@@ -90,11 +90,11 @@
 	}
 	q, err := h.parse(r)
 	if err != nil {
-		drain(r)
-		h.endWithout(w, r, q, began, err)
+		drainBody(r)
+		h.endWithoutAnswer(w, r, q, began, err)
 		return
 	}
-	if !q.held() {
+	if !q.buffered() {
 		// An upstream may answer before it has read the whole body. Without
 		// this, net/http's server would take the rest of the body away from
 		// the attempt as soon as the answer's first byte is written.
@@ -108,21 +108,21 @@
 	}
 	a, err := h.dispatch(ctx, q)
 	if err != nil {
-		h.endWithout(w, r, q, began, err)
+		h.endWithoutAnswer(w, r, q, began, err)
 		return
 	}
 	h.send(ctx, w, q, a, began)
 }
 
-// drainBytes bounds what is read of a body that nobody will use.
-const drainBytes = 256 << 10
+// maxDrainBytes bounds what is read of a body that nobody will use.
+const maxDrainBytes = 256 << 10
 
-// drain reads the rest of a refused request's body. Closing the connection
+// drainBody reads the rest of a refused request's body. Closing the connection
 // while the caller still sends resets it, and the caller may then lose the
 // answer that tells why. A caller that waits for 100 Continue sends nothing.
-func drain(r *http.Request) {
+func drainBody(r *http.Request) {
 	if r.Header.Get("Expect") == "" {
-		_, _ = io.CopyN(io.Discard, r.Body, drainBytes)
+		_, _ = io.CopyN(io.Discard, r.Body, maxDrainBytes)
 	}
 }
 
@@ -137,7 +137,7 @@
 		h.replay(w, q, recorded, began)
 		return
 	case err != nil && (!q.repeatable || isMismatch(err)):
-		h.endWithout(w, r, q, began, h.claimFailed(err))
+		h.endWithoutAnswer(w, r, q, began, h.claimError(err))
 		return
 	}
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), q.deadline)
@@ -154,38 +154,38 @@
 		h.send(detached, w, q, a, began)
 		return
 	case errors.As(err, &notRun):
-		h.Ledger.NotRun(detached, claim)
+		h.Ledger.ReleaseClaim(detached, claim)
 	default:
-		h.Ledger.Unknown(detached, claim)
+		h.Ledger.RecordUnknown(detached, claim)
 	}
-	h.endWithout(w, r, q, began, err)
+	h.endWithoutAnswer(w, r, q, began, err)
 }
 
 // endUnclaimed ends a repeatable request that went on without the ledger.
-func (h *Handler) endUnclaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, q *request, began time.Time, a *answer, err error) {
+func (h *Handler) endUnclaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, q *request, began time.Time, a *upstreamResponse, err error) {
 	if err != nil {
-		h.endWithout(w, r, q, began, err)
+		h.endWithoutAnswer(w, r, q, began, err)
 		return
 	}
 	h.send(ctx, w, q, a, began)
 }
 
-func (h *Handler) recordAnswer(ctx context.Context, claim *mfledger.Claim, a *answer) {
+func (h *Handler) recordAnswer(ctx context.Context, claim *mfledger.Claim, a *upstreamResponse) {
 	switch {
 	case a.peer && a.header.Get(mothferry.HeaderEnd) == string(mothferry.EndUnknown):
-		h.Ledger.Unknown(ctx, claim)
-	case !a.whole():
-		h.Ledger.AnsweredTooLarge(ctx, claim)
+		h.Ledger.RecordUnknown(ctx, claim)
+	case !a.complete():
+		h.Ledger.RecordAnswerTooLarge(ctx, claim)
 	default:
-		h.Ledger.Answered(ctx, claim, mfledger.Answer{Status: a.status, Header: forwarded(a.header), Body: a.held})
+		h.Ledger.RecordAnswer(ctx, claim, mfledger.Answer{Status: a.status, Header: forwarded(a.header), Body: a.buffered})
 	}
 }
 
-// claimFailed turns a failed claim into the end of its request.
-func (h *Handler) claimFailed(err error) error {
+// claimError turns a failed claim into the end of its request.
+func (h *Handler) claimError(err error) error {
 	var taken *mfledger.ErrTaken
 	if !errors.As(err, &taken) {
-		return &mothferry.ErrNotRun{Reason: mothferry.ReasonLedgerDown, RetryAfter: h.comeBack(), Err: err}
+		return &mothferry.ErrNotRun{Reason: mothferry.ReasonLedgerDown, RetryAfter: h.retryDelay(), Err: err}
 	}
 	if isMismatch(err) {
 		return &mothferry.ErrNotRun{Reason: taken.Reason, Err: err}
@@ -233,8 +233,8 @@
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// endWithout ends a request without an answer, at once.
-func (h *Handler) endWithout(w http.ResponseWriter, r *http.Request, q *request, began time.Time, err error) {
+// endWithoutAnswer ends a request without an answer, at once.
+func (h *Handler) endWithoutAnswer(w http.ResponseWriter, r *http.Request, q *request, began time.Time, err error) {
 	p, after := describe(err)
 	service := mothferry.ServiceID("")
 	if q != nil {
--- a/mfentry/handler_test.go
+++ b/mfentry/handler_test.go
@@ -44,7 +44,7 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			var ran atomic.Int64
-			address := scripted(t, func(c net.Conn) {
+			address := startScripted(t, func(c net.Conn) {
 				reader := bufio.NewReader(c)
 				if _, err := readRequest(reader); err != nil {
 					return
@@ -54,7 +54,7 @@
 					ran.Add(1)
 				}
 			})
-			_, _, url := entry(t, address)
+			_, _, url := newEntry(t, address)
 			_, _, err := do(t, "POST", url+"/s/warm", "", nil)
 			assert.NilError(t, err)
 			response, _, err := do(t, k.method, url+"/s/order", k.body, k.header)
@@ -69,13 +69,13 @@
 // Events: a runner dies, its address goes to a runner of another service, and the
 // daemon sends it a request before it has heard of either.
 // Cause: a request did not say which runner it is meant for.
-func TestReusedAddressDoesNotAnswer(t *testing.T) {
+func TestReusedAddressIsRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	other := &mfstandin.Runner{Task: "another", Service: "other", Slots: 8, Connections: 64, Journal: &mfstandin.Journal{}, Listener: listener}
 	other.Start()
 	defer other.Stop(t.Context())
-	_, router, url := entry(t, listener.Addr().String())
+	_, router, url := newEntry(t, listener.Addr().String())
 	response, _, err := do(t, "POST", url+"/s/order", "order", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.Header.Get(mothferry.HeaderEnd), string(mothferry.EndNotRun))
@@ -85,12 +85,12 @@
 
 // TestUpstreamFaults cuts the exchange at each of its phases.
 func TestUpstreamFaults(t *testing.T) {
-	closed := scripted(t, func(c net.Conn) { _, _ = readRequest(bufio.NewReader(c)) })
+	closed := startScripted(t, func(c net.Conn) { _, _ = readRequest(bufio.NewReader(c)) })
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	_ = refusing.Close()
 	reply := func(text string) string {
-		return scripted(t, func(c net.Conn) {
+		return startScripted(t, func(c net.Conn) {
 			reader := bufio.NewReader(c)
 			for {
 				if _, err := readRequest(reader); err != nil {
@@ -136,14 +136,14 @@
 		{"early hints", []string{reply("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, "POST", "/x", 200, mothferry.EndAnswered, "", mfroute.ResultAnswered},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			_, router, url := entry(t, k.upstream...)
+			_, router, url := newEntry(t, k.upstream...)
 			response, _, err := do(t, k.method, url+"/s"+k.path, "body", nil)
 			assert.NilError(t, err)
 			assert.Equal(t, response.StatusCode, k.status)
 			assert.Equal(t, mothferry.End(response.Header.Get(mothferry.HeaderEnd)), k.end)
 			assert.Equal(t, mothferry.Reason(response.Header.Get(mothferry.HeaderReason)), k.reason)
 			assert.Equal(t, router.results[0], k.result)
-			assert.Equal(t, router.out, 0, "slots were not given back")
+			assert.Equal(t, router.acquired, 0, "slots were not given back")
 			if k.end == mothferry.EndNotRun {
 				assert.Assert(t, response.Header.Get("Retry-After") != "")
 			}
@@ -155,8 +155,8 @@
 // is ignored where the request may be repeated. Cause: taking every failed
 // claim of such a request for a table that is out.
 func TestKeyMismatchIsAlwaysRefused(t *testing.T) {
-	good := answering(t, func(mothferry.RequestID) {})
-	_, _, url := entry(t, good)
+	good := startAnswering(t, func(mothferry.RequestID) {})
+	_, _, url := newEntry(t, good)
 	keyed := map[string]string{"Idempotency-Key": "k", "Mothferry-Customer": "c"}
 	_, _, err := do(t, "GET", url+"/s/safe/x", "", keyed)
 	assert.NilError(t, err)
@@ -166,15 +166,15 @@
 	assert.Equal(t, response.Header.Get(mothferry.HeaderEnd), string(mothferry.EndNotRun))
 }
 
-// TestCallerFaults gives each unservable request its clear end, before any
+// TestInvalidRequestsAreRefused gives each unservable request its clear end, before any
 // upstream sees it.
-func TestCallerFaults(t *testing.T) {
-	address := scripted(t, func(c net.Conn) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	address := startScripted(t, func(c net.Conn) {
 		_, _ = readRequest(bufio.NewReader(c))
 		t.Error("an upstream saw the request")
 	})
-	h, _, url := entry(t, address)
-	h.BodyBytes = 100 << 10
+	h, _, url := newEntry(t, address)
+	h.MaxBodyBytes = 100 << 10
 	for _, k := range []struct {
 		name, method, path, body string
 		header                   map[string]string
@@ -202,17 +202,17 @@
 	assert.Equal(t, h.InFlight(), int64(0))
 }
 
-// TestOwnWholeAnswer cuts the raw bytes of an answer at any point, for
+// TestAnswerIsWholeOrAbsent cuts the raw bytes of an answer at any point, for
 // answers of any size and framing, among concurrent requests. A caller must
 // see its own whole answer, or no answer: never a part, never another's.
-func TestOwnWholeAnswer(t *testing.T) {
+func TestAnswerIsWholeOrAbsent(t *testing.T) {
 	type plan struct {
 		size    int
 		chunked bool
 		cut     int
 	}
 	var plans sync.Map
-	address := scripted(t, func(c net.Conn) {
+	address := startScripted(t, func(c net.Conn) {
 		reader := bufio.NewReader(c)
 		for {
 			id, err := readRequest(reader)
@@ -221,7 +221,7 @@
 			}
 			stored, _ := plans.Load(id)
 			p, _ := stored.(plan)
-			raw := rawAnswer(id, p.size, p.chunked)
+			raw := rawResponse(id, p.size, p.chunked)
 			if p.cut < len(raw) {
 				_, _ = c.Write(raw[:p.cut])
 				return
@@ -229,7 +229,7 @@
 			_, _ = c.Write(raw)
 		}
 	})
-	_, _, url := entry(t, address)
+	_, _, url := newEntry(t, address)
 	count := 0
 	mffake.Check(t, func(t *rapid.T) {
 		var group sync.WaitGroup
@@ -237,7 +237,7 @@
 			count++
 			id := mothferry.RequestID(fmt.Sprint("request-", count))
 			p := plan{size: rapid.IntRange(0, 200_000).Draw(t, "size"), chunked: rapid.Bool().Draw(t, "chunked")}
-			whole := len(rawAnswer(id, p.size, p.chunked))
+			whole := len(rawResponse(id, p.size, p.chunked))
 			p.cut = rapid.IntRange(0, 2*whole).Draw(t, "cut")
 			plans.Store(id, p)
 			group.Go(func() {
@@ -276,7 +276,7 @@
 	return bytes.Repeat([]byte(id), size/len(id)+1)[:size]
 }
 
-func rawAnswer(id mothferry.RequestID, size int, chunked bool) []byte {
+func rawResponse(id mothferry.RequestID, size int, chunked bool) []byte {
 	var out bytes.Buffer
 	body := content(id, size)
 	if !chunked {
@@ -304,7 +304,7 @@
 	c := &connection{Conn: near}
 	_, err := c.Write([]byte("an earlier request"))
 	assert.NilError(t, err)
-	var seen evidence
+	var seen connectionTracker
 	seen.picked(c, false)
 	assert.Assert(t, seen.nothingSent())
 	_, err = c.Write([]byte("late"))
@@ -315,19 +315,19 @@
 	_, err = late.Write([]byte("picked after the verdict"))
 	assert.ErrorIs(t, err, errSealed)
 
-	var sent evidence
+	var sent connectionTracker
 	used := &connection{Conn: far}
 	sent.picked(used, false)
 	_, _ = used.Write([]byte("x"))
 	assert.Assert(t, !sent.nothingSent())
 }
 
-// TestNotRunIsTrue gives requests deadlines that pass at any moment around
+// TestNotRunRequestsDidNotRun gives requests deadlines that pass at any moment around
 // connecting and sending, and compares "not run" with what the runner saw.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunRequestsDidNotRun(t *testing.T) {
 	var seen sync.Map
-	address := answering(t, func(id mothferry.RequestID) { seen.Store(id, true) })
-	_, _, url := entry(t, address)
+	address := startAnswering(t, func(id mothferry.RequestID) { seen.Store(id, true) })
+	_, _, url := newEntry(t, address)
 	var notRun sync.Map
 	var group sync.WaitGroup
 	count := atomic.Int64{}
@@ -357,7 +357,7 @@
 // only, and is refused once it is over the limit.
 func TestStreamedBodyIsSentOnce(t *testing.T) {
 	var bytesSeen atomic.Int64
-	good := scripted(t, func(c net.Conn) {
+	good := startScripted(t, func(c net.Conn) {
 		q, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
@@ -366,15 +366,15 @@
 		bytesSeen.Add(n)
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	})
-	closing := scripted(t, func(c net.Conn) { _, _ = io.CopyN(io.Discard, c, 100_000) })
+	closing := startScripted(t, func(c net.Conn) { _, _ = io.CopyN(io.Discard, c, 100_000) })
 	body := strings.Repeat("x", 500_000)
-	_, _, url := entry(t, good)
+	_, _, url := newEntry(t, good)
 	response, _, err := do(t, "POST", url+"/s/x", body, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.Header.Get(mothferry.HeaderEnd), string(mothferry.EndAnswered))
 	assert.Equal(t, bytesSeen.Load(), int64(len(body)))
 
-	_, router, url := entry(t, closing, good)
+	_, router, url := newEntry(t, closing, good)
 	response, _, err = do(t, "GET", url+"/s/safe/x", body, nil)
 	if err == nil {
 		assert.Equal(t, response.Header.Get(mothferry.HeaderEnd), string(mothferry.EndUnknown))
--- a/mfentry/harness_test.go
+++ b/mfentry/harness_test.go
@@ -30,18 +30,18 @@
 	"mothferry/mfsnapshot"
 )
 
-// upstreams is a Router that hands out the runners of a test in turn.
-type upstreams struct {
+// fakeRouter is a Router that hands out the runners of a test in turn.
+type fakeRouter struct {
 	mutex     sync.Mutex
 	addresses []string
 	next      int
 	results   []mfroute.Result
-	out       int
+	acquired  int
 }
 
 func runnerID(i int) mothferry.TaskID { return mothferry.TaskID(fmt.Sprint("runner-", i)) }
 
-func (u *upstreams) Acquire(ctx context.Context, _ mothferry.ServiceID, q mfroute.Request) (*mfroute.Lease, error) {
+func (u *fakeRouter) Acquire(ctx context.Context, _ mothferry.ServiceID, q mfroute.Request) (*mfroute.Lease, error) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	for range u.addresses {
@@ -49,24 +49,24 @@
 		u.next++
 		task := runnerID(i)
 		if !q.Exclude[task] && ctx.Err() == nil {
-			u.out++
+			u.acquired++
 			return &mfroute.Lease{Task: task, Address: u.addresses[i], Connections: 64}, nil
 		}
 	}
 	return nil, &mothferry.ErrNotRun{Reason: mothferry.ReasonNoRunner}
 }
 
-func (u *upstreams) Release(_ mothferry.ServiceID, _ *mfroute.Lease, r mfroute.Result) {
+func (u *fakeRouter) Release(_ mothferry.ServiceID, _ *mfroute.Lease, r mfroute.Result) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.results = append(u.results, r)
-	u.out--
+	u.acquired--
 }
 
-// ends is an Observer that remembers.
-type ends struct{ count atomic.Int64 }
+// countingObserver is an Observer that remembers.
+type countingObserver struct{ count atomic.Int64 }
 
-func (e *ends) Ended(mothferry.ServiceID, mothferry.End, mothferry.Reason, time.Duration) {
+func (e *countingObserver) Ended(mothferry.ServiceID, mothferry.End, mothferry.Reason, time.Duration) {
 	e.count.Add(1)
 }
 
@@ -77,9 +77,9 @@
 	return nil, errors.New("no peers here")
 }
 
-// entry serves a handler whose service "s" runs at the given addresses.
+// newEntry serves a handler whose service "s" runs at the given addresses.
 // GET requests under /safe may be repeated.
-func entry(t testing.TB, addresses ...string) (*Handler, *upstreams, string) {
+func newEntry(t testing.TB, addresses ...string) (*Handler, *fakeRouter, string) {
 	t.Helper()
 	store := mfsnapshot.NewStore()
 	d := mfdocument.Default()
@@ -92,12 +92,12 @@
 		placed.Runners = append(placed.Runners, mfplacement.Runner{Task: runnerID(i), Service: "s", State: mfplacement.StateServing})
 	}
 	store.AdoptPlacement(placed)
-	router := &upstreams{addresses: addresses}
+	router := &fakeRouter{addresses: addresses}
 	h := &Handler{
-		DataCentre: "dc1", Store: store, Router: router, Mesh: noMesh{}, Transports: &Transports{Connect: time.Minute, HeaderBytes: 1 << 16},
-		Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Observer: &ends{}, Log: mflog.Discard(),
+		DataCentre: "dc1", Store: store, Router: router, Mesh: noMesh{}, Transports: &Transports{ConnectTimeout: time.Minute, MaxHeaderBytes: 1 << 16},
+		Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Observer: &countingObserver{}, Log: mflog.Discard(),
 		NewToken:    func() mothferry.Token { return "generated" },
-		BufferBytes: 64 << 10, BodyBytes: 1 << 20, EntryHosts: 1, PeerBound: time.Second,
+		BufferBytes: 64 << 10, MaxBodyBytes: 1 << 20, EntryHostCount: 1, PeerTimeout: time.Second,
 		Confirmed: time.Now, Notice: time.Second,
 	}
 	ledger := &mfledger.Ledger{
@@ -114,8 +114,8 @@
 	return h, router, server.URL
 }
 
-// scripted listens and hands each connection to script.
-func scripted(t testing.TB, script func(net.Conn)) string {
+// startScripted listens and hands each connection to script.
+func startScripted(t testing.TB, script func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -165,10 +165,10 @@
 	return response, data, err
 }
 
-// answering listens and answers each request with an empty 200, after ran.
-func answering(t testing.TB, ran func(mothferry.RequestID)) string {
+// startAnswering listens and answers each request with an empty 200, after ran.
+func startAnswering(t testing.TB, ran func(mothferry.RequestID)) string {
 	t.Helper()
-	return scripted(t, func(c net.Conn) {
+	return startScripted(t, func(c net.Conn) {
 		reader := bufio.NewReader(c)
 		for {
 			id, err := readRequest(reader)
--- a/mfentry/request.go
+++ b/mfentry/request.go
@@ -40,8 +40,8 @@
 	length int64
 }
 
-// held reports whether the whole body is in memory.
-func (q *request) held() bool { return q.stream == nil }
+// buffered reports whether the whole body is in memory.
+func (q *request) buffered() bool { return q.stream == nil }
 
 // hopByHop are the header fields that concern one connection only (RFC 9110,
 // section 7.6.1), and the daemon's own.
@@ -167,7 +167,7 @@
 		q.length = 0
 		return nil
 	}
-	if q.length > int64(h.BodyBytes) {
+	if q.length > int64(h.MaxBodyBytes) {
 		return tooLarge("body is larger than limits.body_bytes")
 	}
 	held, err := io.ReadAll(io.LimitReader(r.Body, int64(h.BufferBytes)+1))
@@ -181,7 +181,7 @@
 	if q.key != "" {
 		return tooLarge("body of a request with " + mothferry.HeaderKey + " is larger than limits.buffer_bytes")
 	}
-	rest := http.MaxBytesReader(nil, r.Body, int64(h.BodyBytes)-int64(len(held)))
+	rest := http.MaxBytesReader(nil, r.Body, int64(h.MaxBodyBytes)-int64(len(held)))
 	q.stream = &onceBody{reader: io.MultiReader(bytes.NewReader(held), rest)}
 	return nil
 }
--- a/mfentry/stale_test.go
+++ b/mfentry/stale_test.go
@@ -12,11 +12,11 @@
 )
 
 // A runner that leaves must get no new request while the router still hands it out.
-func TestRunnerThatLeavesByNewerPlacementsGetsNothing(t *testing.T) {
+func TestLeavingRunnerGetsNoRequest(t *testing.T) {
 	var left, stays atomic.Int64
-	leaving := answering(t, func(mothferry.RequestID) { left.Add(1) })
-	serving := answering(t, func(mothferry.RequestID) { stays.Add(1) })
-	h, router, url := entry(t, leaving, serving)
+	leaving := startAnswering(t, func(mothferry.RequestID) { left.Add(1) })
+	serving := startAnswering(t, func(mothferry.RequestID) { stays.Add(1) })
+	h, router, url := newEntry(t, leaving, serving)
 	h.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "general", Generation: 2, Runners: []mfplacement.Runner{
 		{Task: runnerID(0), Service: "s", State: mfplacement.StateLeaving},
 		{Task: runnerID(1), Service: "s", State: mfplacement.StateServing},
@@ -28,5 +28,5 @@
 	}
 	assert.Equal(t, left.Load(), int64(0))
 	assert.Equal(t, stays.Load(), int64(10))
-	assert.Equal(t, router.out, 0)
+	assert.Equal(t, router.acquired, 0)
 }
--- a/mfledger/ledger.go
+++ b/mfledger/ledger.go
@@ -152,9 +152,9 @@
 	}
 }
 
-// Answered records the answer of a claimed request. It returns at once; the
+// RecordAnswer records the answer of a claimed request. It returns at once; the
 // row is written in the background.
-func (l *Ledger) Answered(ctx context.Context, c *Claim, a Answer) {
+func (l *Ledger) RecordAnswer(ctx context.Context, c *Claim, a Answer) {
 	r := record{State: stateAnswered, Digest: c.digest, Token: c.token, Until: c.until, Answer: &a}
 	if mothferry.Bytes(len(a.Body)) > l.RecordBytes {
 		r.State, r.Answer = stateTooLarge, nil
@@ -162,13 +162,13 @@
 	l.record(ctx, c, r)
 }
 
-// AnsweredTooLarge records that an answer was given that is too large to keep.
-func (l *Ledger) AnsweredTooLarge(ctx context.Context, c *Claim) {
+// RecordAnswerTooLarge records that an answer was given that is too large to keep.
+func (l *Ledger) RecordAnswerTooLarge(ctx context.Context, c *Claim) {
 	l.record(ctx, c, record{State: stateTooLarge, Digest: c.digest, Token: c.token, Until: c.until})
 }
 
-// Unknown records that nobody knows whether a claimed request ran.
-func (l *Ledger) Unknown(ctx context.Context, c *Claim) {
+// RecordUnknown records that nobody knows whether a claimed request ran.
+func (l *Ledger) RecordUnknown(ctx context.Context, c *Claim) {
 	l.record(ctx, c, record{State: stateUnknown, Digest: c.digest, Token: c.token, Until: c.until})
 }
 
@@ -182,10 +182,10 @@
 	go l.persist(context.WithoutCancel(ctx), c, write)
 }
 
-// NotRun gives a claim back, so that the caller may send the request again
+// ReleaseClaim gives a claim back, so that the caller may send the request again
 // under the same key. It waits until that is done or ctx ends, and goes on
 // trying in the background after that.
-func (l *Ledger) NotRun(ctx context.Context, c *Claim) {
+func (l *Ledger) ReleaseClaim(ctx context.Context, c *Claim) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/mfledger/ledger_test.go
+++ b/mfledger/ledger_test.go
@@ -74,7 +74,7 @@
 	takenAs(t, two, key("k"), "other", mothferry.ReasonKeyMismatch)
 	_, _, err = two.Claim(t.Context(), Key{Customer: "d", Service: "s", Key: "k"}, "other", soon())
 	assert.NilError(t, err, "another customer's key is another request")
-	one.Answered(t.Context(), claim, Answer{Status: 201, Body: []byte("made")})
+	one.RecordAnswer(t.Context(), claim, Answer{Status: 201, Body: []byte("made")})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, recorded, _ := two.Claim(t.Context(), key("k"), "d", soon()); recorded != nil && string(recorded.Body) == "made" && recorded.Status == 201 {
 			return poll.Success()
@@ -84,17 +84,17 @@
 
 	claim, _, err = one.Claim(t.Context(), key("large"), "d", soon())
 	assert.NilError(t, err)
-	one.Answered(t.Context(), claim, Answer{Body: make([]byte, 101)})
+	one.RecordAnswer(t.Context(), claim, Answer{Body: make([]byte, 101)})
 	becomes(t, two, key("large"), mothferry.ReasonAnswerTooLarge)
 
 	claim, _, err = one.Claim(t.Context(), key("lost"), "d", soon())
 	assert.NilError(t, err)
-	one.Unknown(t.Context(), claim)
+	one.RecordUnknown(t.Context(), claim)
 	becomes(t, two, key("lost"), mothferry.ReasonOutcomeUnknown)
 
 	claim, _, err = one.Claim(t.Context(), key("again"), "d", soon())
 	assert.NilError(t, err)
-	one.NotRun(t.Context(), claim)
+	one.ReleaseClaim(t.Context(), claim)
 	_, _, err = two.Claim(t.Context(), key("again"), "d", soon())
 	assert.NilError(t, err, "a request that did not run may be sent again")
 
@@ -113,7 +113,7 @@
 	table.LoseReplies(1)
 	claim, _, err := l.Claim(t.Context(), key("k"), "d", soon())
 	assert.NilError(t, err)
-	l.NotRun(t.Context(), claim)
+	l.ReleaseClaim(t.Context(), claim)
 	_, _, err = l.Claim(t.Context(), key("k"), "d", soon())
 	assert.NilError(t, err)
 }
@@ -162,10 +162,10 @@
 	one, two := started(t, table, mfclock.System{}), started(t, table, mfclock.System{})
 	claim, _, err := one.Claim(t.Context(), key("k"), "d", soon())
 	assert.NilError(t, err)
-	one.NotRun(t.Context(), claim)
+	one.ReleaseClaim(t.Context(), claim)
 	_, _, err = two.Claim(t.Context(), key("k"), "d", soon())
 	assert.NilError(t, err)
-	one.NotRun(t.Context(), claim)
+	one.ReleaseClaim(t.Context(), claim)
 	takenAs(t, one, key("k"), "d", mothferry.ReasonStillRunning)
 }
 
@@ -294,7 +294,7 @@
 					case err == nil:
 						note(c, step{id, "claim"}, "claimed", began, time.Now())
 						began = time.Now()
-						l.NotRun(ctx, claim)
+						l.ReleaseClaim(ctx, claim)
 						note(c, step{id, "give back"}, "", began, time.Now())
 					case errors.As(err, &taken):
 						note(c, step{id, "claim"}, "running", began, time.Now())
@@ -337,7 +337,7 @@
 						return
 					}
 					n.Store(k, true)
-					l.NotRun(context.Background(), claim)
+					l.ReleaseClaim(context.Background(), claim)
 				}
 			})
 			b.ReportMetric(1000*float64(table.Commits())/float64(b.N), "commits/1000")
