--- a/mfchange/change_test.go
+++ b/mfchange/change_test.go
@@ -109,7 +109,7 @@
 func TestRevisionsAreDense(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		table := mffake.NewTable(mfclock.System{})
-		accepter := &Accepter{Table: table, Clock: mffake.Instant{}}
+		accepter := &Accepter{Table: table, Clock: mffake.InstantClock{}}
 		latest := map[mothferry.ServiceID]mothferry.Revision{}
 		var highest mothferry.Revision
 		for i := range rapid.IntRange(1, 15).Draw(t, "changes") {
--- a/mffake/fake.go
+++ b/mffake/fake.go
@@ -62,14 +62,14 @@
 	c.timers = waiting
 }
 
-// Instant is the system's clock with timers that fire at once.
-type Instant struct{}
+// InstantClock is the system's clock with timers that fire at once.
+type InstantClock struct{}
 
 // Now implements mothferry.Clock.
-func (Instant) Now() time.Time { return time.Now() }
+func (InstantClock) Now() time.Time { return time.Now() }
 
 // After implements mothferry.Clock.
-func (Instant) After(time.Duration) <-chan time.Time {
+func (InstantClock) After(time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	c <- time.Now()
 	return c
--- a/mffake/subnet.go
+++ b/mffake/subnet.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// claimPort is the port that holds a subnet; no deployment listens there.
-const claimPort = 7399
+// subnetLockPort is the port that holds a subnet; no deployment listens there.
+const subnetLockPort = 7399
 
 // ClaimSubnet returns the first three numbers of a loopback subnet, such as
 // "127.3.7", that belongs to this test until it ends. Test runs beside each other
@@ -18,7 +18,7 @@
 	const tries = 1000
 	for range tries {
 		subnet := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
-		listener, err := net.Listen("tcp", fmt.Sprintf("%s.250:%d", subnet, claimPort))
+		listener, err := net.Listen("tcp", fmt.Sprintf("%s.250:%d", subnet, subnetLockPort))
 		if err == nil {
 			t.Cleanup(func() { _ = listener.Close() })
 			return subnet
--- a/mfledger/ledger_test.go
+++ b/mfledger/ledger_test.go
@@ -125,7 +125,7 @@
 // sent has to be taken back.
 func TestClaimWithdrawn(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
-	l := started(t, table, mffake.Instant{})
+	l := started(t, table, mffake.InstantClock{})
 	table.LoseReplies(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	lost := &losing{Table: table, cancel: cancel}
--- a/mfusage/watch_test.go
+++ b/mfusage/watch_test.go
@@ -59,7 +59,7 @@
 func TestUnreadTimeEndsNothing(t *testing.T) {
 	lines := memory.New()
 	w := &Watch{
-		Clock: mffake.Instant{}, Log: log.NewEntry(&log.Logger{Handler: lines, Level: log.InfoLevel}),
+		Clock: mffake.InstantClock{}, Log: log.NewEntry(&log.Logger{Handler: lines, Level: log.InfoLevel}),
 		Used: func() (time.Duration, error) { return 0, mffake.ErrFake },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
