--- a/mffeed/follower.go
+++ b/mffeed/follower.go
@@ -24,12 +24,12 @@
 // Pauses after a call that failed: doubled from the shortest to the longest,
 // so that a store that returns sees each host at most four times a second.
 const (
-	shortestPause = 50 * time.Millisecond
-	longestPause  = 250 * time.Millisecond
-	// pageRows is how many rows one read asks for. One that has no answer may have asked for
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 250 * time.Millisecond
+	// defaultPageRows is how many rows one read asks for. One that has no answer may have asked for
 	// more than the link carries in the time of a call: the next asks for a part of that.
-	pageRows = 500
-	pagePart = 4
+	defaultPageRows  = 500
+	pageShrinkFactor = 4
 )
 
 // Follower keeps up with one table. The exported fields are set before Run.
@@ -43,13 +43,13 @@
 	Parts []mothferry.PartID
 	// Wait is how long the store may hold a call back for a change.
 	Wait time.Duration
-	// Every is the shortest time between two calls.
-	Every time.Duration
+	// MinInterval is the shortest time between two calls.
+	MinInterval time.Duration
 	// Apply takes rows in: all rows of the table if whole is set, else changes.
 	// Rows may come twice.
 	Apply func(rows []mothferry.Row, whole bool)
-	// Heard is told up to when all changes have been applied; it may be nil.
-	Heard func(upTo time.Time)
+	// OnProgress is told up to when all changes have been applied; it may be nil.
+	OnProgress func(upTo time.Time)
 
 	episode mflog.Episode
 }
@@ -57,29 +57,29 @@
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	f.episode.Log = f.Log
-	pause := shortestPause
+	pause := minRetryDelay
 	for ctx.Err() == nil {
 		err := f.follow(ctx)
 		var gone *mothferry.ErrHistoryGone
 		if errors.As(err, &gone) {
 			f.Log.WithField("table", f.Table).WithField("after", gone.After).Info("history is gone, table is read anew")
-			pause = shortestPause
+			pause = minRetryDelay
 			continue
 		}
 		if ctx.Err() != nil {
 			break
 		}
 		f.episode.Failed(err, "store does not answer for table "+string(f.Table))
-		if !mfclock.Sleep(ctx, f.Clock, f.spread(pause)) {
+		if !mfclock.Sleep(ctx, f.Clock, f.jitter(pause)) {
 			break
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// spread returns a pause between half of d and d.
-func (f *Follower) spread(d time.Duration) time.Duration {
+// jitter returns a pause between half of d and d.
+func (f *Follower) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(f.Random.Float64()*float64(d/2))
 }
 
@@ -89,9 +89,9 @@
 	if err != nil {
 		return err
 	}
-	f.answered()
+	f.recordAnswer()
 	f.Apply(rows, true)
-	f.heard(asked)
+	f.reportProgress(asked)
 	for {
 		began := f.Clock.Now()
 		page, asked, err := f.changes(ctx, version)
@@ -102,8 +102,8 @@
 		if len(page.Rows) > 0 {
 			f.Apply(page.Rows, false)
 		}
-		f.heard(asked)
-		if rest := f.Every - f.Clock.Now().Sub(began); rest > 0 {
+		f.reportProgress(asked)
+		if rest := f.MinInterval - f.Clock.Now().Sub(began); rest > 0 {
 			if !mfclock.Sleep(ctx, f.Clock, rest) {
 				return ctx.Err()
 			}
@@ -114,12 +114,12 @@
 // changes returns what changed after a version, and when it asked. It asks once more if a call has no answer: a connection that went
 // silent is not a store that is out, and the table need not be read anew.
 func (f *Follower) changes(ctx context.Context, version mothferry.Version) (mothferry.RowPage, time.Time, error) {
-	pause := shortestPause
+	pause := minRetryDelay
 	for {
 		asked := f.Clock.Now()
 		page, err := f.Store.Follow(ctx, f.Table, version, f.Wait)
 		if err == nil {
-			f.answered()
+			f.recordAnswer()
 			return page, asked, nil
 		}
 		var gone *mothferry.ErrHistoryGone
@@ -127,26 +127,26 @@
 			return page, asked, err
 		}
 		f.episode.Failed(err, "store does not answer for table "+string(f.Table))
-		if !mfclock.Sleep(ctx, f.Clock, f.spread(pause)) {
+		if !mfclock.Sleep(ctx, f.Clock, f.jitter(pause)) {
 			return page, asked, ctx.Err()
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// heard tells up to when all changes have been applied.
-func (f *Follower) heard(upTo time.Time) {
-	if f.Heard != nil {
-		f.Heard(upTo)
+// reportProgress tells up to when all changes have been applied.
+func (f *Follower) reportProgress(upTo time.Time) {
+	if f.OnProgress != nil {
+		f.OnProgress(upTo)
 	}
 }
 
-func (f *Follower) answered() {
+func (f *Follower) recordAnswer() {
 	f.episode.Succeeded("store answers again for table " + string(f.Table))
 }
 
-// readAtOnce is how many parts are read at the same time.
-const readAtOnce = 8
+// maxParallelReads is how many parts are read at the same time.
+const maxParallelReads = 8
 
 // ReadParts reads all rows of some parts of a table. The version is one from
 // which on no change is missed.
@@ -158,7 +158,7 @@
 	var rows []mothferry.Row
 	var version mothferry.Version
 	var group errgroup.Group
-	group.SetLimit(readAtOnce)
+	group.SetLimit(maxParallelReads)
 	for _, p := range parts {
 		group.Go(func() error {
 			some, at, err := ReadAll(ctx, store, mothferry.RowRange{Table: table, Part: p})
@@ -182,7 +182,7 @@
 	var rows []mothferry.Row
 	var version mothferry.Version
 	if q.Limit == 0 {
-		q.Limit = pageRows
+		q.Limit = defaultPageRows
 	}
 	for first := true; ; first = false {
 		page, limit, err := readPage(ctx, store, q)
@@ -212,6 +212,6 @@
 		if err == nil || q.Limit <= 1 || ctx.Err() != nil {
 			return page, q.Limit, err
 		}
-		q.Limit = max(1, q.Limit/pagePart)
+		q.Limit = max(1, q.Limit/pageShrinkFactor)
 	}
 }
--- a/mffeed/follower_test.go
+++ b/mffeed/follower_test.go
@@ -18,7 +18,7 @@
 // Symptom guarded against: a host goes on without what changed while the store
 // dropped its history.
 // Events: rows change, the history goes, rows change again.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
+func TestLostHistoryIsReadAgain(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	var mutex sync.Mutex
 	seen := map[mothferry.Key]string{}
--- a/mfowner/follow.go
+++ b/mfowner/follow.go
@@ -11,7 +11,7 @@
 func (s *session) followInbox() {
 	f := &mffeed.Follower{
 		Store: s.owner.Store, Clock: s.owner.Clock, Random: s.owner.Random, Log: s.owner.Log,
-		Table: mfrecord.TableInbox, Parts: mfrecord.InboxParts(), Wait: inboxLongPoll, Every: inboxBatchInterval, Apply: s.applyInbox,
+		Table: mfrecord.TableInbox, Parts: mfrecord.InboxParts(), Wait: inboxLongPoll, MinInterval: inboxBatchInterval, Apply: s.applyInbox,
 	}
 	_ = f.Run(s.ctx)
 }
--- a/mfrelay/directory.go
+++ b/mfrelay/directory.go
@@ -57,7 +57,7 @@
 	known := map[mothferry.Key]mfrecord.Host{}
 	f := &mffeed.Follower{
 		Store: d.Store, Clock: d.Clock, Random: d.Random, Log: d.Log,
-		Table: mfrecord.TableHosts, Wait: directoryWait, Every: directoryEvery,
+		Table: mfrecord.TableHosts, Wait: directoryWait, MinInterval: directoryEvery,
 		Apply: func(rows []mothferry.Row, whole bool) {
 			if whole {
 				clear(known)
