--- a/mfdemo/jobs.go
+++ b/mfdemo/jobs.go
@@ -89,7 +89,7 @@
 	config := &mfqueue.Config{Version: 1, Queues: []mfqueue.Queue{{
 		ID: jobQueue, Service: jobService, MaxAttempts: 2, Stretch: 2, Latency: time.Second,
 	}}}
-	settings := mffleet.Settings{Daemon: name, Grace: time.Second, Cores: 400, MachineHandOver: time.Second, Limits: mfsched.DefaultLimits()}
+	settings := mffleet.Settings{Daemon: name, Grace: time.Second, Cores: 400, MachineHandoverDelay: time.Second, Limits: mfsched.DefaultLimits()}
 	for _, address := range []*string{&settings.Callers, &settings.Ready, &settings.Metrics} {
 		free, err := freeAddress()
 		if err != nil {
@@ -101,15 +101,15 @@
 	daemon := &mffleet.Daemon{
 		Settings: settings, Clock: d.Clock, Random: d.Random,
 		Logs: &mflog.Logs{Output: io.Discard, Format: mflog.FormatJSON, Level: log.FatalLevel},
-		Outside: mffleet.Outside{
+		Adapter: mffleet.Adapter{
 			Store: rows, Workers: worker, Listing: worker, Machines: worker,
-			Operator: func(ctx context.Context, news mffleet.News) error {
-				news.Adopt(config)
+			FollowOperator: func(ctx context.Context, news mffleet.OperatorCallbacks) error {
+				news.OnConfig(config)
 				<-ctx.Done()
 				return ctx.Err()
 			},
-			TellWave: func(context.Context, mothferry.WaveID, bool) error { return nil },
-			Callers: func(daemon *mffleet.Daemon) http.Handler {
+			ReportWave: func(context.Context, mothferry.WaveID, bool) error { return nil },
+			CallersHandler: func(daemon *mffleet.Daemon) http.Handler {
 				serving <- daemon.Intake
 				return http.NotFoundHandler()
 			},
--- a/mffleet/daemon.go
+++ b/mffleet/daemon.go
@@ -30,8 +30,8 @@
 	"mothferry/mfusage"
 )
 
-// Outside is what the daemon speaks with, as an adapter provides it.
-type Outside struct {
+// Adapter is what the daemon speaks with, as an adapter provides it.
+type Adapter struct {
 	Store   mothferry.RowStore
 	Workers mothferry.TaskWorkers
 	// OrderTimeout bounds one call to a worker, without the time it is asked to wait.
@@ -39,81 +39,81 @@
 	Adviser      mothferry.Adviser
 	Machines     mothferry.Machines
 	Listing      mfowner.WorkerSource
-	// Operator follows what the operator asks for until ctx ends.
-	Operator func(ctx context.Context, news News) error
-	// TellWave tells the operator how far a wave is.
-	TellWave func(ctx context.Context, wave mothferry.WaveID, completed bool) error
-	// Callers returns the handler of callers' requests.
-	Callers func(d *Daemon) http.Handler
+	// FollowOperator follows what the operator asks for until ctx ends.
+	FollowOperator func(ctx context.Context, news OperatorCallbacks) error
+	// ReportWave tells the operator how far a wave is.
+	ReportWave func(ctx context.Context, wave mothferry.WaveID, completed bool) error
+	// CallersHandler returns the handler of callers' requests.
+	CallersHandler func(d *Daemon) http.Handler
 }
 
-// News is told what the operator asks for.
-type News struct {
-	Adopt func(c *mfqueue.Config)
-	Wave  func(w mfsched.Wave)
-	// Heard is told up to when all that the operator asked for is known.
-	Heard func(upTo time.Time)
+// OperatorCallbacks is told what the operator asks for.
+type OperatorCallbacks struct {
+	OnConfig func(c *mfqueue.Config)
+	OnWave   func(w mfsched.Wave)
+	// OnSynced is told up to when all that the operator asked for is known.
+	OnSynced func(upTo time.Time)
 }
 
 // Daemon is one running daemon. The exported fields are set before Run.
 type Daemon struct {
 	Settings Settings
-	Outside  Outside
+	Adapter  Adapter
 	Clock    mothferry.Clock
 	Random   mothferry.Random
 	Logs     *mflog.Logs
 	Registry *prometheus.Registry
 
-	Intake *mfintake.Intake
-	owner  *mfowner.Owner
-	log    *log.Entry
-	config atomic.Pointer[mfqueue.Config]
-	heard  atomic.Pointer[time.Time]
-	store  *reach
-	relay  *mfrelay.Relay
-	relays *mfrelay.Server
-	// forward passes calls on, carrier carries them out for others; nil where that is off.
-	forward *mfforward.Client
-	carrier *mfforward.Server
+	Intake         *mfintake.Intake
+	owner          *mfowner.Owner
+	log            *log.Entry
+	config         atomic.Pointer[mfqueue.Config]
+	configSyncedAt atomic.Pointer[time.Time]
+	store          *monitoredStore
+	relay          *mfrelay.Relay
+	relayServer    *mfrelay.Server
+	// forwardClient passes calls on, carrier carries them out for others; nil where that is off.
+	forwardClient *mfforward.Client
+	forwardServer *mfforward.Server
 	// Router serves callers' requests about jobs; it is set once Run has begun.
-	Router  *mfforward.Router
-	leaving atomic.Bool
-	mutex   sync.Mutex
-	waves   map[mothferry.WaveID]mfsched.Wave
-	ended   *prometheus.HistogramVec
-	calls   *prometheus.HistogramVec
-	refused prometheus.Counter
-	usage   *mfusage.Watch
+	Router         *mfforward.Router
+	stopping       atomic.Bool
+	mutex          sync.Mutex
+	waves          map[mothferry.WaveID]mfsched.Wave
+	requestSeconds *prometheus.HistogramVec
+	callSeconds    *prometheus.HistogramVec
+	refusedEntries prometheus.Counter
+	usage          *mfusage.Watch
 }
 
 // Config returns the config in force, nil before the first one.
 func (d *Daemon) Config() *mfqueue.Config { return d.config.Load() }
 
-// ConfigHeard returns up to when all changes of the config are known; zero before the
+// ConfigSyncedAt returns up to when all changes of the config are known; zero before the
 // first one.
-func (d *Daemon) ConfigHeard() time.Time {
-	if at := d.heard.Load(); at != nil {
+func (d *Daemon) ConfigSyncedAt() time.Time {
+	if at := d.configSyncedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Ended counts the end of a caller's request.
-func (d *Daemon) Ended(kind string, status int, took time.Duration) {
-	d.ended.WithLabelValues(kind, http.StatusText(status)).Observe(took.Seconds())
+// ObserveRequest counts the end of a caller's request.
+func (d *Daemon) ObserveRequest(kind string, status int, took time.Duration) {
+	d.requestSeconds.WithLabelValues(kind, http.StatusText(status)).Observe(took.Seconds())
 }
 
-// Called counts a call to the platform or to a worker.
-func (d *Daemon) Called(operation string, took time.Duration, err error) {
+// ObserveCall counts a call to the platform or to a worker.
+func (d *Daemon) ObserveCall(operation string, took time.Duration, err error) {
 	outcome := "done"
 	if err != nil {
 		outcome = "failed"
 	}
-	d.calls.WithLabelValues(operation, outcome).Observe(took.Seconds())
+	d.callSeconds.WithLabelValues(operation, outcome).Observe(took.Seconds())
 }
 
-// EntryRefused counts a worker's entry that names no worker to use.
-func (d *Daemon) EntryRefused() { d.refused.Inc() }
+// CountRefusedEntry counts a worker's entry that names no worker to use.
+func (d *Daemon) CountRefusedEntry() { d.refusedEntries.Inc() }
 
 // Log returns the logger of a part.
 func (d *Daemon) Log(part string) *log.Entry {
@@ -124,7 +124,7 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	d.build()
 	d.log.WithFields(log.Fields{"data_centre": d.Settings.DataCentre, "callers": d.Settings.Callers}).Info("daemon starts")
-	callers, err := d.server(d.Settings.Callers, d.Outside.Callers(d))
+	callers, err := d.server(d.Settings.Callers, d.Adapter.CallersHandler(d))
 	if err != nil {
 		return err
 	}
@@ -140,16 +140,16 @@
 	}
 	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	done := d.supervise(parts, part{"operator", d.followOperator}, part{"owner", d.owner.Run}, part{"usage", d.usage.Run})
+	done := d.supervise(parts, component{"operator", d.followOperator}, component{"owner", d.owner.Run}, component{"usage", d.usage.Run})
 	relaying, endRelaying := context.WithCancel(context.WithoutCancel(ctx))
 	defer endRelaying()
-	relayed := d.supervise(relaying, append(d.relayParts(), d.forwardParts()...)...)
+	relayed := d.supervise(relaying, append(d.relayComponents(), d.forwardComponents()...)...)
 	<-ctx.Done()
 	d.log.Info("daemon is told to stop")
-	d.leaving.Store(true)
-	d.relays.Leave()
-	if d.carrier != nil {
-		d.carrier.Leave()
+	d.stopping.Store(true)
+	d.relayServer.Leave()
+	if d.forwardServer != nil {
+		d.forwardServer.Leave()
 	}
 	cancel()
 	d.shutDown(callers)
@@ -167,11 +167,11 @@
 	if d.Registry == nil {
 		d.Registry = prometheus.NewRegistry()
 	}
-	d.ended = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	d.requestSeconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "mothferry_job_request_seconds", Help: "Time from a caller's request about a job to its answer, by kind and status.",
 		Buckets: prometheus.ExponentialBuckets(0.002, 2, 12),
 	}, []string{"kind", "status"})
-	d.calls = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	d.callSeconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "mothferry_platform_call_seconds", Help: "Time of a call to the platform or to a worker, by operation and outcome.",
 		Buckets: prometheus.ExponentialBuckets(0.002, 2, 11),
 	}, []string{"operation", "outcome"})
@@ -188,7 +188,7 @@
 		}
 		return 0
 	})
-	d.refused = prometheus.NewCounter(prometheus.CounterOpts{
+	d.refusedEntries = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "mothferry_worker_entries_refused_total", Help: "Workers' entries that were read and name no worker to use.",
 	})
 	d.usage = &mfusage.Watch{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Log("usage")}
@@ -197,27 +197,27 @@
 	}, d.usage.Share)
 	pools := newPoolGauges()
 	shares := newShareMetrics(func() *mfowner.Shares { return d.owner.Shares() })
-	d.Registry.MustRegister(d.refused, d.ended, d.calls, decisions, commits, owning, cores, pools.machines, pools.binding, shares)
-	uneven := newStragglers(d.Registry)
-	d.store = &reach{RowStore: d.Outside.Store, clock: d.Clock, health: &mfforward.Health{}}
+	d.Registry.MustRegister(d.refusedEntries, d.requestSeconds, d.callSeconds, decisions, commits, owning, cores, pools.machines, pools.binding, shares)
+	uneven := newStragglerMetrics(d.Registry)
+	d.store = &monitoredStore{RowStore: d.Adapter.Store, clock: d.Clock, health: &mfforward.Health{}}
 	d.buildRelay()
 	d.owner = &mfowner.Owner{
-		Daemon: d.Settings.Daemon, Store: d.store, Workers: d.relay, WhileOwning: d.followRelays, Adviser: d.Outside.Adviser,
-		Listing: d.Outside.Listing, Config: d.Config, Limits: d.Settings.Limits, Off: d.Settings.Off, Cores: d.Settings.Cores, Link: d.Settings.Link, Clock: d.Clock, Random: d.Random,
-		Machines: d.Outside.Machines, Waves: d.waveList, ReportWave: d.Outside.TellWave,
+		Daemon: d.Settings.Daemon, Store: d.store, Workers: d.relay, WhileOwning: d.followRelays, Adviser: d.Adapter.Adviser,
+		Listing: d.Adapter.Listing, Config: d.Config, Limits: d.Settings.Limits, Off: d.Settings.Off, Cores: d.Settings.Cores, Link: d.Settings.Link, Clock: d.Clock, Random: d.Random,
+		Machines: d.Adapter.Machines, Waves: d.waveList, ReportWave: d.Adapter.ReportWave,
 		OnDecision: func(message string) {
 			decisions.WithLabelValues(message).Inc()
-			uneven.decided(message)
+			uneven.countDecision(message)
 		},
-		OnSlowWorkers:        uneven.tell,
+		OnSlowWorkers:        uneven.setSlowWorkers,
 		OnCommit:             func(took time.Duration) { commits.Observe(took.Seconds()) },
-		OnJobEnd:             shares.jobEnded,
+		OnJobEnd:             shares.countJobEnd,
 		OnPoolSizes:          pools.set,
-		MachineHandoverDelay: d.Settings.MachineHandOver, Log: d.Log("owner"),
+		MachineHandoverDelay: d.Settings.MachineHandoverDelay, Log: d.Log("owner"),
 	}
 	d.Intake = &mfintake.Intake{
 		Store: d.store, Clock: d.Clock, Random: d.Random, Log: d.Log("intake"), LastHead: d.owner.LastHead,
-		Off: d.Settings.Off, OnResult: shares.counted,
+		Off: d.Settings.Off, OnResult: shares.countSubmission,
 	}
 	d.buildForward()
 }
@@ -240,7 +240,7 @@
 )
 
 // supervise runs parts until ctx ends; the channel is closed when all have ended.
-func (d *Daemon) supervise(ctx context.Context, parts ...part) <-chan struct{} {
+func (d *Daemon) supervise(ctx context.Context, parts ...component) <-chan struct{} {
 	top := suture.New("fleet", suture.Spec{EventHook: func(e suture.Event) { d.log.Warn(e.String()) }})
 	for _, p := range parts {
 		top.Add(p)
@@ -254,10 +254,10 @@
 }
 
 func (d *Daemon) followOperator(ctx context.Context) error {
-	return d.Outside.Operator(ctx, News{
-		Adopt: func(c *mfqueue.Config) { d.config.Store(c) },
-		Wave:  d.addWave,
-		Heard: func(upTo time.Time) { d.heard.Store(&upTo) },
+	return d.Adapter.FollowOperator(ctx, OperatorCallbacks{
+		OnConfig: func(c *mfqueue.Config) { d.config.Store(c) },
+		OnWave:   d.addWave,
+		OnSynced: func(upTo time.Time) { d.configSyncedAt.Store(&upTo) },
 	})
 }
 
@@ -279,7 +279,7 @@
 }
 
 func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if d.Config() == nil || d.leaving.Load() || !d.store.there() && !d.forwards() {
+	if d.Config() == nil || d.stopping.Load() || !d.store.answeredRecently() && !d.canForward() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -287,7 +287,7 @@
 // shutDown lets requests in flight end. New connections are still taken for a
 // while, since the balancer learns only at its next look that this host leaves.
 func (d *Daemon) shutDown(callers *http.Server) {
-	linger := min(lingerFor, d.Settings.Grace/2)
+	linger := min(maxStopDelay, d.Settings.Grace/2)
 	<-d.Clock.After(linger)
 	ctx, cancel := context.WithTimeout(context.Background(), d.Settings.Grace/4)
 	defer cancel()
@@ -296,17 +296,17 @@
 	}
 }
 
-// lingerFor is how long a host that is told to stop goes on serving: the
+// maxStopDelay is how long a host that is told to stop goes on serving: the
 // balancer asks once a second and needs two misses.
-const lingerFor = 2500 * time.Millisecond
+const maxStopDelay = 2500 * time.Millisecond
 
-type part struct {
+type component struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
 // Serve implements suture.Service.
-func (p part) Serve(ctx context.Context) error { return p.run(ctx) }
+func (p component) Serve(ctx context.Context) error { return p.run(ctx) }
 
 // String names the part in the supervisor's events.
-func (p part) String() string { return p.name }
+func (p component) String() string { return p.name }
--- a/mffleet/daemon_test.go
+++ b/mffleet/daemon_test.go
@@ -48,7 +48,7 @@
 	d := &mffleet.Daemon{
 		Settings: mffleet.Settings{
 			Daemon: name, Callers: h.callers, Ready: h.ready, Metrics: h.metrics,
-			Grace: time.Second, Cores: 400, MachineHandOver: time.Second, Limits: mfsched.DefaultLimits(),
+			Grace: time.Second, Cores: 400, MachineHandoverDelay: time.Second, Limits: mfsched.DefaultLimits(),
 		},
 		Clock: mfclock.System{}, Random: mfclock.SystemRandom{},
 		Logs: &mflog.Logs{Output: io.Discard, Format: mflog.FormatJSON},
@@ -57,16 +57,16 @@
 		f(&d.Settings)
 	}
 	h.callers, h.ready, h.metrics = d.Settings.Callers, d.Settings.Ready, d.Settings.Metrics
-	d.Outside = mffleet.Outside{
+	d.Adapter = mffleet.Adapter{
 		Store: rows, Workers: w, Listing: w, Machines: w,
-		Operator: func(ctx context.Context, news mffleet.News) error {
-			news.Adopt(config)
+		FollowOperator: func(ctx context.Context, news mffleet.OperatorCallbacks) error {
+			news.OnConfig(config)
 			<-ctx.Done()
 			return ctx.Err()
 		},
-		TellWave: func(context.Context, mothferry.WaveID, bool) error { return nil },
-		Callers: func(d *mffleet.Daemon) http.Handler {
-			return &platform.Front{Intake: d.Intake, Router: d.Router, Config: d.Config, Clock: mfclock.System{}, Log: mflog.Discard(), Ended: d.Ended}
+		ReportWave: func(context.Context, mothferry.WaveID, bool) error { return nil },
+		CallersHandler: func(d *mffleet.Daemon) http.Handler {
+			return &platform.Front{Intake: d.Intake, Router: d.Router, Config: d.Config, Clock: mfclock.System{}, Log: mflog.Discard(), Ended: d.ObserveRequest}
 		},
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -104,7 +104,7 @@
 
 // Jobs end to end over two hosts: handed in at either, looked up at either, and
 // completed although the owner is stopped while they run; nothing runs twice.
-func TestJobsOverAPlannedStop(t *testing.T) {
+func TestJobsSurvivePlannedStop(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	w := &mfstandin.TaskWorker{Service: "s", Takes: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}
 	first := startHost(t, "h-1", rows, w)
--- a/mffleet/forward.go
+++ b/mffleet/forward.go
@@ -16,12 +16,12 @@
 // Times of reading which hosts there are. A host can't read that once the store turns
 // it away, so each keeps what it read last.
 const (
-	// hostsSoon is when they are read again after a start: the others start about then.
+	// minHostsInterval is when they are read again after a start: the others start about then.
 	// The pause grows up to hostsEvery: hosts come and go rarely, some of those that are
 	// known are enough, and all rows cross between data centres for each host.
-	hostsSoon  = time.Second
-	hostsGrow  = 4
-	hostsEvery = time.Minute
+	minHostsInterval    = time.Second
+	hostsIntervalGrowth = 4
+	maxHostsInterval    = time.Minute
 )
 
 // buildForward sets up both sides of forwarding.
@@ -45,20 +45,20 @@
 	if d.forwardAddress() == "" {
 		return
 	}
-	d.forward = &mfforward.Client{
+	d.forwardClient = &mfforward.Client{
 		Daemon: d.Settings.Daemon, DataCentre: d.Settings.DataCentre, Health: d.store.health, Clock: d.Clock, Log: d.Log("forward"),
 		Passed: func(kind mfforward.Kind, outcome mfintake.Outcome) {
 			passed.WithLabelValues(string(kind), string(outcome)).Inc()
 		},
 	}
-	d.carrier = &mfforward.Server{
+	d.forwardServer = &mfforward.Server{
 		Address: d.Settings.Forward, Intake: d.Intake, Store: d.store, Config: d.Config, Health: d.store.health, Clock: d.Clock, Log: d.Log("forward"),
 		Carried: func(kind mfforward.Kind, outcome mfintake.Outcome) {
 			carried.WithLabelValues(string(kind), string(outcome)).Inc()
 		},
 	}
-	d.Router.Client = d.forward
-	d.owner.ReleaseViaPeer = d.release
+	d.Router.Client = d.forwardClient
+	d.owner.ReleaseViaPeer = d.releaseViaPeer
 }
 
 // forwardAddress is where this host carries out others' calls; empty if it does not.
@@ -69,31 +69,31 @@
 	return d.Settings.Forward
 }
 
-func (d *Daemon) forwardParts() []part {
-	if d.forward == nil {
+func (d *Daemon) forwardComponents() []component {
+	if d.forwardClient == nil {
 		return nil
 	}
-	return []part{{"forward", d.forward.Run}, {"carrier", d.carrier.Run}, {"hosts", d.readHosts}}
+	return []component{{"forward", d.forwardClient.Run}, {"carrier", d.forwardServer.Run}, {"hosts", d.readHosts}}
 }
 
 // readHosts reads now and then which hosts there are.
 func (d *Daemon) readHosts(ctx context.Context) error {
-	for pause := hostsSoon; ; {
+	for pause := minHostsInterval; ; {
 		if !mfclock.Sleep(ctx, d.Clock, pause*3/4+time.Duration(d.Random.Float64()*float64(pause/2))) {
 			return ctx.Err()
 		}
 		hosts, err := d.directory().Read(ctx)
 		if err == nil {
-			d.forward.SetHosts(hosts)
-			pause = min(hostsGrow*pause, hostsEvery)
+			d.forwardClient.SetHosts(hosts)
+			pause = min(hostsIntervalGrowth*pause, maxHostsInterval)
 		}
 	}
 }
 
-// forwards reports whether a peer can serve this host's callers.
-func (d *Daemon) forwards() bool { return d.forward != nil && d.forward.Ready() }
+// canForward reports whether a peer can serve this host's callers.
+func (d *Daemon) canForward() bool { return d.forwardClient != nil && d.forwardClient.Ready() }
 
-// release gives the shard up by a peer if the store turns this host away.
-func (d *Daemon) release(ctx context.Context, head mfrecord.Head, version mothferry.Version) bool {
-	return d.store.health.Away(d.Clock.Now()) && d.forward.Release(ctx, head, version)
+// releaseViaPeer gives the shard up by a peer if the store turns this host away.
+func (d *Daemon) releaseViaPeer(ctx context.Context, head mfrecord.Head, version mothferry.Version) bool {
+	return d.store.health.Away(d.Clock.Now()) && d.forwardClient.Release(ctx, head, version)
 }
--- a/mffleet/forward_test.go
+++ b/mffleet/forward_test.go
@@ -24,17 +24,17 @@
 
 // group is some hosts of one store, each with a gate to it.
 type group struct {
-	rows  *mfstandin.Rows
-	w     *mfstandin.TaskWorker
-	hosts []host
-	gates []*mfstandin.Gate
+	rows    *mfstandin.Rows
+	workers *mfstandin.TaskWorker
+	hosts   []host
+	gates   []*mfstandin.Gate
 }
 
 // startGroup starts hosts that know of each other and have an owner. The last one owns
 // the shard at first.
 func startGroup(t *testing.T, n int) *group {
 	t.Helper()
-	g := &group{rows: &mfstandin.Rows{}, w: &mfstandin.TaskWorker{Service: "s", Takes: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}}
+	g := &group{rows: &mfstandin.Rows{}, workers: &mfstandin.TaskWorker{Service: "s", Takes: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}}
 	g.hosts, g.gates = make([]host, n), make([]*mfstandin.Gate, n)
 	// Ports of addresses of their own are not taken by connections that go out meanwhile.
 	subnet := mffake.ClaimSubnet(t)
@@ -49,7 +49,7 @@
 	}
 	for i := n - 1; i >= 0; i-- {
 		g.gates[i] = &mfstandin.Gate{Store: g.rows}
-		g.hosts[i] = startHost(t, told[i].Daemon, g.gates[i], g.w, func(s *mffleet.Settings) {
+		g.hosts[i] = startHost(t, told[i].Daemon, g.gates[i], g.workers, func(s *mffleet.Settings) {
 			s.Callers, s.Ready, s.Metrics = fmt.Sprintf("%s.%d:7100", subnet, 10+i), fmt.Sprintf("%s.%d:7101", subnet, 10+i), fmt.Sprintf("%s.%d:7070", subnet, 10+i)
 			s.DataCentre, s.Relay, s.Forward = told[i].DataCentre, told[i].Address, told[i].Forward
 			s.Off = mothferry.FeaturesOff{mothferry.FeatureForwarding: os.Getenv("MOTHFERRY_TEST_WITHOUT") == string(mothferry.FeatureForwarding)}
@@ -79,8 +79,8 @@
 	return string(head.Holder)
 }
 
-// givenUp counts how often it was stored that the shard has no owner.
-func (g *group) givenUp(t *testing.T) int {
+// releaseCount counts how often it was stored that the shard has no owner.
+func (g *group) releaseCount(t *testing.T) int {
 	t.Helper()
 	page, err := g.rows.Follow(context.Background(), mfrecord.TableOwner, 0, 0)
 	assert.NilError(t, err)
@@ -119,8 +119,8 @@
 	return strings.Join(found, "\n")
 }
 
-// timed makes a request and returns how long it took.
-func (g *group) timed(t *testing.T, i int, method string, id int) (code int, text string, took time.Duration) {
+// timedRequest makes a request and returns how long it took.
+func (g *group) timedRequest(t *testing.T, i int, method string, id int) (code int, text string, took time.Duration) {
 	t.Helper()
 	body := ""
 	if method == http.MethodPost {
@@ -132,26 +132,26 @@
 }
 
 // Symptom guarded against: a host that the store turns away refuses all its callers, though its neighbours are served.
-func TestHostTurnedAwayServesByAPeer(t *testing.T) {
+func TestUnservedHostForwardsToPeer(t *testing.T) {
 	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "reset": mfstandin.GateReset, "silent": mfstandin.GateSilent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
 			g.gates[0].Set(fault)
 			for i := range 20 {
-				code, text, took := g.timed(t, 0, http.MethodPost, i)
+				code, text, took := g.timedRequest(t, 0, http.MethodPost, i)
 				assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
 				assert.Assert(t, took < time.Second, "hand-in %d took %v", i, took)
 				time.Sleep(50 * time.Millisecond)
 			}
 			for i := range 20 {
-				code, text, took := g.timed(t, 0, http.MethodGet, i)
+				code, text, took := g.timedRequest(t, 0, http.MethodGet, i)
 				assert.Equal(t, code, http.StatusOK, "look-up %d: %s", i, text)
 				assert.Assert(t, took < time.Second)
 			}
-			code, _, _ := g.timed(t, 0, http.MethodDelete, 3)
+			code, _, _ := g.timedRequest(t, 0, http.MethodDelete, 3)
 			assert.Equal(t, code, http.StatusOK)
-			code, _, _ = g.timed(t, 0, http.MethodGet, 4711)
+			code, _, _ = g.timedRequest(t, 0, http.MethodGet, 4711)
 			assert.Equal(t, code, http.StatusGone)
 			time.Sleep(2500 * time.Millisecond)
 			code, count := request(t, g.hosts[0], http.MethodGet, "/q/", "")
@@ -166,13 +166,13 @@
 			eventually(t, "service by the own store", func() bool {
 				return g.metric(t, 0, "mothferry_store_serving") == "mothferry_store_serving 1"
 			})
-			assert.Equal(t, len(g.w.Twice()), 0, "%v", g.w.Twice())
+			assert.Equal(t, len(g.workers.Twice()), 0, "%v", g.workers.Twice())
 		})
 	}
 }
 
 // Symptom guarded against: with all hosts turned away calls are passed round, held to their end, or hosts stay ready.
-func TestAllTurnedAwayAnswerAtOnce(t *testing.T) {
+func TestAllHostsUnservedRefuseImmediately(t *testing.T) {
 	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "silent": mfstandin.GateSilent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -182,10 +182,10 @@
 			}
 			time.Sleep(2500 * time.Millisecond)
 			for i := range 10 {
-				code, _, took := g.timed(t, 0, http.MethodPost, i)
+				code, _, took := g.timedRequest(t, 0, http.MethodPost, i)
 				assert.Equal(t, code, http.StatusServiceUnavailable)
 				assert.Assert(t, took < 400*time.Millisecond, "hand-in took %v", took)
-				code, _, took = g.timed(t, 0, http.MethodGet, i)
+				code, _, took = g.timedRequest(t, 0, http.MethodGet, i)
 				assert.Equal(t, code, http.StatusServiceUnavailable)
 				assert.Assert(t, took < 400*time.Millisecond, "look-up took %v", took)
 			}
@@ -194,7 +194,7 @@
 				gate.Set(mfstandin.GateWell)
 			}
 			eventually(t, "acceptance", func() bool {
-				code, _, _ := g.timed(t, 0, http.MethodPost, 1)
+				code, _, _ := g.timedRequest(t, 0, http.MethodPost, 1)
 				return code == http.StatusOK
 			})
 		})
@@ -202,48 +202,48 @@
 }
 
 // Failure guarded against: a hand-in's answer is lost at the peer, then a refusal says that the job never runs, and it does.
-func TestLostAnswerOfAPeerIsNoRefusal(t *testing.T) {
+func TestLostPeerReplyIsNotARefusal(t *testing.T) {
 	g := startGroup(t, 2)
 	g.gates[0].Set(mfstandin.GateBusy)
 	eventually(t, "a host that passes calls on", func() bool {
-		code, _, _ := g.timed(t, 0, http.MethodPost, 100)
+		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
 	})
 	g.gates[1].Set(mfstandin.GateLate)
-	code, _, _ := g.timed(t, 0, http.MethodPost, 7)
+	code, _, _ := g.timedRequest(t, 0, http.MethodPost, 7)
 	assert.Equal(t, code, http.StatusGatewayTimeout)
 	g.gates[1].Set(mfstandin.GateBusy)
 	for range 5 {
-		code, _, _ = g.timed(t, 0, http.MethodPost, 7)
+		code, _, _ = g.timedRequest(t, 0, http.MethodPost, 7)
 		assert.Equal(t, code, http.StatusGatewayTimeout)
 	}
-	code, _, _ = g.timed(t, 0, http.MethodPost, 8)
+	code, _, _ = g.timedRequest(t, 0, http.MethodPost, 8)
 	assert.Equal(t, code, http.StatusServiceUnavailable)
 	for _, gate := range g.gates {
 		gate.Set(mfstandin.GateWell)
 	}
 	g.gates[1].Settle(context.Background())
 	eventually(t, "completion", func() bool {
-		_, text, _ := g.timed(t, 0, http.MethodGet, 7)
+		_, text, _ := g.timedRequest(t, 0, http.MethodGet, 7)
 		return text == `{"state":"completed"}`
 	})
 	eventually(t, "absence", func() bool {
-		code, _, _ := g.timed(t, 0, http.MethodGet, 8)
+		code, _, _ := g.timedRequest(t, 0, http.MethodGet, 8)
 		return code == http.StatusGone
 	})
 }
 
 // Failure guarded against: a hand-in that goes two ways, by an own write that is made late and by a peer, runs twice.
-func TestIDThatWentTwoWaysIsOneJob(t *testing.T) {
+func TestJobSubmittedTwoWaysRunsOnce(t *testing.T) {
 	g := startGroup(t, 2)
 	g.gates[0].Set(mfstandin.GateLate)
 	for i := range 5 {
-		code, text, _ := g.timed(t, 0, http.MethodPost, i)
+		code, text, _ := g.timedRequest(t, 0, http.MethodPost, i)
 		assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
 	}
 	for i := range 5 {
 		eventually(t, "completion", func() bool {
-			_, text, _ := g.timed(t, 0, http.MethodGet, i)
+			_, text, _ := g.timedRequest(t, 0, http.MethodGet, i)
 			return text == `{"state":"completed"}`
 		})
 	}
@@ -251,18 +251,18 @@
 	g.gates[0].Settle(context.Background())
 	time.Sleep(300 * time.Millisecond)
 	for i := range 5 {
-		_, text, _ := g.timed(t, 1, http.MethodGet, i)
+		_, text, _ := g.timedRequest(t, 1, http.MethodGet, i)
 		assert.Equal(t, text, `{"state":"completed"}`)
 	}
-	assert.Equal(t, len(g.w.Twice()), 0, "%v", g.w.Twice())
+	assert.Equal(t, len(g.workers.Twice()), 0, "%v", g.workers.Twice())
 }
 
 // Failure guarded against: a peer's store goes silent with hand-ins in flight, and callers wait for longer than they said, or its other callers go under.
-func TestPeerThatFailsHalfwayIsReplaced(t *testing.T) {
+func TestFailedPeerIsReplaced(t *testing.T) {
 	g := startGroup(t, 3)
 	g.gates[0].Set(mfstandin.GateBusy)
 	eventually(t, "a host that passes calls on", func() bool {
-		code, _, _ := g.timed(t, 0, http.MethodPost, 100)
+		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
 	})
 	first := 1
@@ -271,17 +271,17 @@
 	}
 	g.hosts[first].stop()
 	for i := range 20 {
-		code, _, took := g.timed(t, 0, http.MethodPost, i)
+		code, _, took := g.timedRequest(t, 0, http.MethodPost, i)
 		assert.Assert(t, took < 2*time.Second, "hand-in took %v", took)
 		assert.Assert(t, code == http.StatusOK || code == http.StatusGatewayTimeout, "hand-in %d: %d", i, code)
-		code, text, _ := g.timed(t, 0, http.MethodGet, 100)
+		code, text, _ := g.timedRequest(t, 0, http.MethodGet, 100)
 		assert.Equal(t, code, http.StatusOK, text)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // Failure guarded against: an owner that the store turns away keeps its shard until its lease lapses, and nothing starts meanwhile.
-func TestOwnerTurnedAwayHandsOver(t *testing.T) {
+func TestUnservedOwnerReleasesShard(t *testing.T) {
 	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "reset": mfstandin.GateReset, "silent": mfstandin.GateSilent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -301,14 +301,14 @@
 				time.Sleep(time.Second)
 				assert.Assert(t, g.owner(t) != owner, "the shard came back to %s", owner)
 			}
-			t.Logf("%s: mean %v, worst %v, given up %d times", name, sum/rounds, worst, g.givenUp(t))
+			t.Logf("%s: mean %v, worst %v, given up %d times", name, sum/rounds, worst, g.releaseCount(t))
 			assert.Assert(t, sum/rounds < time.Second, "the shard had another owner after %v", sum/rounds)
 			// Silence takes nearly as long to notice as the lease, which may lapse first.
 			least := rounds - 1
 			if fault == mfstandin.GateSilent {
 				least = 1
 			}
-			assert.Assert(t, g.givenUp(t) >= least, "the shard was given up %d times", g.givenUp(t))
+			assert.Assert(t, g.releaseCount(t) >= least, "the shard was given up %d times", g.releaseCount(t))
 		})
 	}
 }
--- a/mffleet/reach_test.go
+++ b/mffleet/reach_test.go
@@ -19,24 +19,24 @@
 // slowRows is a store whose calls take a while, or that can't be reached.
 type slowRows struct {
 	*mfstandin.Rows
-	clock *mffake.Clock
-	takes time.Duration
-	away  bool
+	clock       *mffake.Clock
+	latency     time.Duration
+	unreachable bool
 }
 
 // Range implements mothferry.RowStore.
 func (r *slowRows) Range(ctx context.Context, q mothferry.RowRange) (mothferry.RowPage, error) {
-	r.clock.Advance(r.takes)
-	if r.away {
+	r.clock.Advance(r.latency)
+	if r.unreachable {
 		return mothferry.RowPage{}, &mothferry.ErrUnavailable{Operation: "range", Err: context.DeadlineExceeded}
 	}
 	return r.Rows.Range(ctx, q)
 }
 
-// polling is a daemon with a config whose store is read as often as each host
+// newPollingDaemon is a daemon with a config whose store is read as often as each host
 // reads who owns the shard.
-func polling(rows *slowRows) (d *Daemon, poll func()) {
-	d = &Daemon{Clock: rows.clock, store: &reach{RowStore: rows, clock: rows.clock, health: &mfforward.Health{}}}
+func newPollingDaemon(rows *slowRows) (d *Daemon, poll func()) {
+	d = &Daemon{Clock: rows.clock, store: &monitoredStore{RowStore: rows, clock: rows.clock, health: &mfforward.Health{}}}
 	d.config.Store(&mfqueue.Config{})
 	return d, func() {
 		rows.clock.Advance(300 * time.Millisecond)
@@ -56,19 +56,19 @@
 // Events: hosts lose the store; the balancer asks each once a second and leaves out
 // one that was not ready twice.
 // Cause: a host was ready until the store had not answered for 1.8 s.
-func TestHostWithoutStoreIsSoonNotReady(t *testing.T) {
-	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), takes: 4 * time.Millisecond}
-	d, poll := polling(rows)
+func TestHostWithoutStoreBecomesUnready(t *testing.T) {
+	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 4 * time.Millisecond}
+	d, poll := newPollingDaemon(rows)
 	assert.Assert(t, !ready(d))
 	poll()
 	assert.Assert(t, ready(d))
-	rows.away = true
+	rows.unreachable = true
 	poll()
 	poll()
 	assert.Assert(t, ready(d), "one or two answers missing are no reason")
 	rows.clock.Advance(300 * time.Millisecond)
 	assert.Assert(t, !ready(d))
-	rows.away = false
+	rows.unreachable = false
 	poll()
 	assert.Assert(t, ready(d))
 }
@@ -76,18 +76,18 @@
 // A store that is slow for all hosts leaves them ready: there is none that would be
 // faster.
 func TestHostWithSlowStoreIsReady(t *testing.T) {
-	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), takes: 400 * time.Millisecond}
-	d, poll := polling(rows)
+	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 400 * time.Millisecond}
+	d, poll := newPollingDaemon(rows)
 	poll()
 	rows.clock.Advance(300*time.Millisecond + 700*time.Millisecond)
 	assert.Assert(t, ready(d))
 }
 
 // A single slow answer keeps no host ready for long that is cut off after it.
-func TestOneSlowAnswerKeepsNoHostReady(t *testing.T) {
-	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), takes: 1500 * time.Millisecond}
-	d, poll := polling(rows)
+func TestLatencyAllowanceIsBounded(t *testing.T) {
+	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 1500 * time.Millisecond}
+	d, poll := newPollingDaemon(rows)
 	poll()
-	rows.clock.Advance(readyWithin + slowMost)
+	rows.clock.Advance(maxAnswerAge + maxLatencyAllowance)
 	assert.Assert(t, !ready(d))
 }
--- a/mffleet/relay.go
+++ b/mffleet/relay.go
@@ -19,7 +19,7 @@
 	d.Registry.MustRegister(passed)
 	relayed, direct := passed.WithLabelValues("relay"), passed.WithLabelValues("direct")
 	d.relay = &mfrelay.Relay{
-		Daemon: d.Settings.Daemon, Direct: d.Outside.Workers, OrderTimeout: d.Outside.OrderTimeout,
+		Daemon: d.Settings.Daemon, Direct: d.Adapter.Workers, OrderTimeout: d.Adapter.OrderTimeout,
 		Link:  d.Settings.Link,
 		Clock: d.Clock, Log: d.Log("relay"),
 		Passed: func(over bool) {
@@ -30,23 +30,23 @@
 			}
 		},
 	}
-	d.relays = &mfrelay.Server{Address: d.Settings.Relay, Workers: d.Outside.Workers, Clock: d.Clock, Log: d.Log("relay")}
+	d.relayServer = &mfrelay.Server{Address: d.Settings.Relay, Workers: d.Adapter.Workers, Clock: d.Clock, Log: d.Log("relay")}
 }
 
 func (d *Daemon) directory() *mfrelay.Directory {
 	return &mfrelay.Directory{Store: d.store, Clock: d.Clock, Random: d.Random, Log: d.Log("relay")}
 }
 
-// relayParts are those by which this host passes orders on; none without an address.
-func (d *Daemon) relayParts() []part {
+// relayComponents are those by which this host passes orders on; none without an address.
+func (d *Daemon) relayComponents() []component {
 	if d.Settings.Relay == "" {
 		return nil
 	}
-	return []part{{"relay", d.relays.Run}, {"directory", d.tellHost}}
+	return []component{{"relay", d.relayServer.Run}, {"directory", d.publishHost}}
 }
 
-// tellHost tells the others once where this host passes orders on.
-func (d *Daemon) tellHost(ctx context.Context) error {
+// publishHost tells the others once where this host passes orders on.
+func (d *Daemon) publishHost(ctx context.Context) error {
 	err := d.directory().Tell(ctx, mfrecord.Host{
 		Daemon: d.Settings.Daemon, DataCentre: d.Settings.DataCentre, Address: d.Settings.Relay, Forward: d.forwardAddress(), Cores: d.Settings.Cores,
 	})
--- a/mffleet/report_test.go
+++ b/mffleet/report_test.go
@@ -15,7 +15,7 @@
 )
 
 // A family that is renamed, or loses a label, is silently missing from operators' reports.
-func TestReportKnowsWhatHostsTell(t *testing.T) {
+func TestHostsExportReportedMetrics(t *testing.T) {
 	d := &Daemon{
 		Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Registry: prometheus.NewRegistry(),
 		Logs: &mflog.Logs{Output: io.Discard, Format: mflog.FormatJSON},
--- a/mffleet/setting.go
+++ b/mffleet/setting.go
@@ -30,10 +30,10 @@
 	Link mothferry.Bandwidth
 	// Grace is how long a planned stop may take.
 	Grace time.Duration
-	// MachineHandOver is how long after another host's last change of a machine
+	// MachineHandoverDelay is how long after another host's last change of a machine
 	// this one may change it.
-	MachineHandOver time.Duration
-	Limits          mfsched.Limits
+	MachineHandoverDelay time.Duration
+	Limits               mfsched.Limits
 	// Off holds the features that are switched off.
 	Off mothferry.FeaturesOff
 }
--- a/mffleet/share.go
+++ b/mffleet/share.go
@@ -12,18 +12,18 @@
 // shareMetrics tell operators how client accounts are served. Labels hold only queues,
 // services and accounts that a config names.
 type shareMetrics struct {
-	handedIn, ended *prometheus.CounterVec
-	share, used     *prometheus.Desc
+	submitted, jobEnds *prometheus.CounterVec
+	share, used        *prometheus.Desc
 	// shares returns how the accounts' work stands, nil where this host does not know.
 	shares func() *mfowner.Shares
 }
 
 func newShareMetrics(shares func() *mfowner.Shares) *shareMetrics {
 	return &shareMetrics{
-		handedIn: prometheus.NewCounterVec(prometheus.CounterOpts{
+		submitted: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "mothferry_handed_in_total", Help: "Jobs handed in at this host, by queue, client account and outcome.",
 		}, []string{"queue", "account", "outcome"}),
-		ended: prometheus.NewCounterVec(prometheus.CounterOpts{
+		jobEnds: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "mothferry_account_jobs_total", Help: "Jobs that ended while this host owned the shard, by queue, client account and end.",
 		}, []string{"queue", "account", "end"}),
 		share:  prometheus.NewDesc("mothferry_account_share_cores", "Cores of a service that are due to a client account which asks for some.", []string{"service", "account"}, nil),
@@ -34,16 +34,16 @@
 
 // Describe implements prometheus.Collector.
 func (m *shareMetrics) Describe(out chan<- *prometheus.Desc) {
-	m.handedIn.Describe(out)
-	m.ended.Describe(out)
+	m.submitted.Describe(out)
+	m.jobEnds.Describe(out)
 	out <- m.share
 	out <- m.used
 }
 
 // Collect implements prometheus.Collector.
 func (m *shareMetrics) Collect(out chan<- prometheus.Metric) {
-	m.handedIn.Collect(out)
-	m.ended.Collect(out)
+	m.submitted.Collect(out)
+	m.jobEnds.Collect(out)
 	s := m.shares()
 	if s == nil {
 		return
@@ -56,10 +56,10 @@
 	}
 }
 
-func (m *shareMetrics) counted(queue mothferry.QueueID, account mothferry.AccountID, end mfintake.SubmitResult) {
-	m.handedIn.WithLabelValues(string(queue), string(account), string(end)).Inc()
+func (m *shareMetrics) countSubmission(queue mothferry.QueueID, account mothferry.AccountID, end mfintake.SubmitResult) {
+	m.submitted.WithLabelValues(string(queue), string(account), string(end)).Inc()
 }
 
-func (m *shareMetrics) jobEnded(e mfsched.JobEnd) {
-	m.ended.WithLabelValues(string(e.Queue), string(e.Account), string(e.End)).Inc()
+func (m *shareMetrics) countJobEnd(e mfsched.JobEnd) {
+	m.jobEnds.WithLabelValues(string(e.Queue), string(e.Account), string(e.End)).Inc()
 }
--- a/mffleet/share_test.go
+++ b/mffleet/share_test.go
@@ -16,25 +16,25 @@
 )
 
 // Guarded against: operators can't tell whose jobs were refused, or read shares of a host that does not own the shard.
-func TestSharesAreMeasured(t *testing.T) {
+func TestShareMetrics(t *testing.T) {
 	var shares *mfowner.Shares
 	m := newShareMetrics(func() *mfowner.Shares { return shares })
 	r := prometheus.NewRegistry()
 	r.MustRegister(m)
-	m.counted("q", "a", mfintake.RefusedShare)
-	m.jobEnded(mfsched.JobEnd{Queue: "q", Account: "a", End: mfsched.EndLate})
-	assert.DeepEqual(t, names(t, r), []string{"mothferry_account_jobs_total", "mothferry_handed_in_total"})
+	m.countSubmission("q", "a", mfintake.RefusedShare)
+	m.countJobEnd(mfsched.JobEnd{Queue: "q", Account: "a", End: mfsched.EndLate})
+	assert.DeepEqual(t, metricNames(t, r), []string{"mothferry_account_jobs_total", "mothferry_handed_in_total"})
 	shares = &mfowner.Shares{
 		Standing: mfshare.Allocation{{Service: "s", Account: "a"}: {Rate: 4}},
 		Used:     map[mothferry.AccountID]float64{"a": 2},
 	}
-	assert.DeepEqual(t, names(t, r), []string{
+	assert.DeepEqual(t, metricNames(t, r), []string{
 		"mothferry_account_jobs_total", "mothferry_account_share_cores", "mothferry_account_used_cores", "mothferry_handed_in_total",
 	})
 }
 
-// names returns the metrics that a registry has, with the labels checked that operators select by.
-func names(t *testing.T, r *prometheus.Registry) []string {
+// metricNames returns the metrics that a registry has, with the labels checked that operators select by.
+func metricNames(t *testing.T, r *prometheus.Registry) []string {
 	t.Helper()
 	families, err := r.Gather()
 	assert.NilError(t, err)
--- a/mffleet/straggler.go
+++ b/mffleet/straggler.go
@@ -7,14 +7,14 @@
 	"mothferry/mfsched"
 )
 
-// stragglers are the metrics of uneven workers.
-type stragglers struct {
+// stragglerMetrics are the metrics of uneven workers.
+type stragglerMetrics struct {
 	slow, speed *prometheus.GaugeVec
 	actions     *prometheus.CounterVec
 }
 
-func newStragglers(registry *prometheus.Registry) *stragglers {
-	s := &stragglers{
+func newStragglerMetrics(registry *prometheus.Registry) *stragglerMetrics {
+	s := &stragglerMetrics{
 		slow: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "mothferry_workers_slow", Help: "Workers that the shard's owner takes as slow, by service.",
 		}, []string{"service"}),
@@ -29,8 +29,8 @@
 	return s
 }
 
-// decided counts a decision that the log has.
-func (s *stragglers) decided(message string) {
+// countDecision counts a decision that the log has.
+func (s *stragglerMetrics) countDecision(message string) {
 	switch message {
 	case mfsched.MessageRestarted:
 		s.actions.WithLabelValues("restarted").Inc()
@@ -43,8 +43,8 @@
 	}
 }
 
-// tell takes in which workers are slow now; none once the shard has another owner.
-func (s *stragglers) tell(workers []mfsched.SlowWorker) {
+// setSlowWorkers takes in which workers are slow now; none once the shard has another owner.
+func (s *stragglerMetrics) setSlowWorkers(workers []mfsched.SlowWorker) {
 	s.slow.Reset()
 	s.speed.Reset()
 	count := map[mothferry.ServiceID]int{}
--- a/mffleet/straggler_test.go
+++ b/mffleet/straggler_test.go
@@ -12,21 +12,21 @@
 )
 
 // Guards against gauges of workers that are no longer slow, or whose shard has another owner.
-func TestSlowWorkersAreTold(t *testing.T) {
+func TestSlowWorkerMetrics(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	s := newStragglers(registry)
-	s.tell([]mfsched.SlowWorker{{Service: "a", Worker: "w-1", Speed: 0.2}, {Service: "a", Worker: "w-2", Speed: 0.3}})
-	s.decided(mfsched.MessageRestarted)
-	assert.DeepEqual(t, gathered(t, registry), []string{
+	s := newStragglerMetrics(registry)
+	s.setSlowWorkers([]mfsched.SlowWorker{{Service: "a", Worker: "w-1", Speed: 0.2}, {Service: "a", Worker: "w-2", Speed: 0.3}})
+	s.countDecision(mfsched.MessageRestarted)
+	assert.DeepEqual(t, metricLines(t, registry), []string{
 		"mothferry_stragglers_total restarted 1", "mothferry_worker_speed a w-1 0.2", "mothferry_worker_speed a w-2 0.3",
 		"mothferry_workers_slow a 2",
 	})
-	s.tell(nil)
-	assert.DeepEqual(t, gathered(t, registry), []string{"mothferry_stragglers_total restarted 1"})
+	s.setSlowWorkers(nil)
+	assert.DeepEqual(t, metricLines(t, registry), []string{"mothferry_stragglers_total restarted 1"})
 }
 
-// gathered returns the name, labels and value of each metric.
-func gathered(t *testing.T, registry *prometheus.Registry) []string {
+// metricLines returns the name, labels and value of each metric.
+func metricLines(t *testing.T, registry *prometheus.Registry) []string {
 	t.Helper()
 	families, err := registry.Gather()
 	assert.NilError(t, err)
