--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -175,8 +175,8 @@
 	}
 	d.follower = &mffollow.Follower{
 		Self: s.Daemon, DataCentre: s.DataCentre, Clock: d.Clock,
-		Table: d.platform.Table, Store: d.store, Poll: s.Timing.Poll, Heartbeat: s.Timing.Heartbeat,
-		Bound: s.Timing.Notice / 3, Notice: s.Timing.Notice, Log: d.Logs.Part("config"),
+		Table: d.platform.Table, Store: d.store, PollInterval: s.Timing.Poll, Heartbeat: s.Timing.Heartbeat,
+		CompareTimeout: s.Timing.Notice / 3, MaxConfirmAge: s.Timing.Notice, Log: d.Logs.Part("config"),
 	}
 	d.follower.Prepare(d.Random)
 	d.mesh = &mfpeer.Mesh{
@@ -217,7 +217,7 @@
 		BufferBytes: s.Limits.BufferBytes, MaxBodyBytes: s.Limits.BodyBytes,
 		EntryHostCount: len(s.EntryHosts()), PeerTimeout: d.peerTimeout(), Confirmed: d.follower.Confirmed, Notice: s.Timing.Notice,
 	}
-	d.follower.SetOffers(d.router)
+	d.follower.SetStatusProvider(d.router)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !d.ready() {
--- a/mffollow/follower.go
+++ b/mffollow/follower.go
@@ -29,12 +29,12 @@
 // others poll slowFactor times less often: they learn from their peers, and
 // the table's reads stay bounded however many daemons there are.
 const (
-	pollers    = 2
-	slowFactor = 10
+	fullRatePollers = 2
+	slowPollFactor  = 10
 )
 
-// Offers tells what this daemon can take over and has in flight.
-type Offers interface {
+// StatusProvider tells what this daemon can take over and has in flight.
+type StatusProvider interface {
 	Statuses() map[mothferry.ServiceID]mfpeer.ServiceStatus
 	InFlightLeaving(p mfplacement.Record) int
 }
@@ -51,35 +51,35 @@
 
 // Follower keeps one daemon's snapshot up to date. It is the mesh's Node.
 type Follower struct {
-	Self       mothferry.DaemonID
-	DataCentre mothferry.DataCentre
-	Clock      mothferry.Clock
-	Table      mothferry.Table
-	Store      *mfsnapshot.Store
-	Mesh       *mfpeer.Mesh
-	Poll       time.Duration
-	Heartbeat  time.Duration
-	// Bound is how long one comparison with peers may take.
-	Bound time.Duration
-	// Notice is the maximum age of the last comparison. Beyond it the daemon is considered
+	Self         mothferry.DaemonID
+	DataCentre   mothferry.DataCentre
+	Clock        mothferry.Clock
+	Table        mothferry.Table
+	Store        *mfsnapshot.Store
+	Mesh         *mfpeer.Mesh
+	PollInterval time.Duration
+	Heartbeat    time.Duration
+	// CompareTimeout is how long one comparison with peers may take.
+	CompareTimeout time.Duration
+	// MaxConfirmAge is the maximum age of the last comparison. Beyond it the daemon is considered
 	// paused and does not report its placements to peers.
-	Notice time.Duration
-	Log    *log.Entry
+	MaxConfirmAge time.Duration
+	Log           *log.Entry
 
 	incarnation uint64
-	work        chan func(context.Context)
-
-	mutex    sync.Mutex
-	offers   Offers
-	stopping bool
-	source   Source
-	reached  time.Time
-	fetching map[string]bool
+	fetches     chan func(context.Context)
+
+	mutex           sync.Mutex
+	statusProvider  StatusProvider
+	stopping        bool
+	source          Source
+	platformReached time.Time
+	fetching        map[string]bool
 	// confirmed is when the last comparison with others began that is done.
 	confirmed time.Time
 
-	// turn is the peer to compare with next; only Run uses it.
-	turn int
+	// nextPeer is the peer to compare with next; only Run uses it.
+	nextPeer int
 }
 
 // fetchBacklog bounds the fetches that wait; one that finds no room is tried
@@ -89,17 +89,17 @@
 // Prepare readies the follower for use before Run.
 func (f *Follower) Prepare(random mothferry.Random) {
 	f.incarnation = uint64(f.Clock.Now().UnixNano()) ^ uint64(random.IntN(1<<30))
-	f.work = make(chan func(context.Context), fetchBacklog)
+	f.fetches = make(chan func(context.Context), fetchBacklog)
 	f.fetching = map[string]bool{}
 	f.confirmed = f.Clock.Now()
 	f.source = SourceNone
 }
 
-// SetOffers names what heartbeats tell of the daemon's requests.
-func (f *Follower) SetOffers(o Offers) {
+// SetStatusProvider names what heartbeats tell of the daemon's requests.
+func (f *Follower) SetStatusProvider(o StatusProvider) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.offers = o
+	f.statusProvider = o
 }
 
 // SetStopping makes heartbeats tell that the daemon takes no more work.
@@ -113,7 +113,7 @@
 func (f *Follower) Source() (Source, time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.source, f.reached
+	return f.source, f.platformReached
 }
 
 // Run polls the table and fetches from peers until ctx ends.
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case fetch := <-f.work:
+		case fetch := <-f.fetches:
 			fetch(ctx)
 		}
 	}
@@ -135,7 +135,7 @@
 func (f *Follower) poll(ctx context.Context) {
 	failures := mflog.Episode{Log: f.Log}
 	for round := 0; ; round++ {
-		if round%slowFactor == 0 || f.pollsOften() {
+		if round%slowPollFactor == 0 || f.pollsAtFullRate() {
 			err := f.readTable(ctx)
 			switch {
 			case err == nil:
@@ -144,15 +144,15 @@
 				failures.Failed(err, "Platform's table cannot be read.")
 			}
 		}
-		if !mfclock.Sleep(ctx, f.Clock, f.Poll) {
+		if !mfclock.Sleep(ctx, f.Clock, f.PollInterval) {
 			return
 		}
 	}
 }
 
-// pollsOften reports whether this daemon is among the first of the live
+// pollsAtFullRate reports whether this daemon is among the first of the live
 // entry hosts of its data centre.
-func (f *Follower) pollsOften() bool {
+func (f *Follower) pollsAtFullRate() bool {
 	live := []mothferry.DaemonID{f.Self}
 	for _, s := range f.Mesh.Live(4 * f.Heartbeat) {
 		if s.Peer.DataCentre == f.DataCentre {
@@ -160,7 +160,7 @@
 		}
 	}
 	ranked := mfroute.Rank("poll", live)
-	return slices.Index(ranked, f.Self) < pollers
+	return slices.Index(ranked, f.Self) < fullRatePollers
 }
 
 // readTable compares the table's revision and placement generations with
@@ -175,7 +175,7 @@
 		return trace.Wrap(err)
 	}
 	f.mutex.Lock()
-	f.reached = f.Clock.Now()
+	f.platformReached = f.Clock.Now()
 	f.mutex.Unlock()
 	current := f.Store.Current()
 	var newer []mothferry.Key
@@ -240,8 +240,8 @@
 // Status implements mfpeer.Node.
 func (f *Follower) Status() mfpeer.Status {
 	f.mutex.Lock()
-	offers, stopping := f.offers, f.stopping
-	stale := f.Clock.Now().Sub(f.confirmed) > f.Notice
+	offers, stopping := f.statusProvider, f.stopping
+	stale := f.Clock.Now().Sub(f.confirmed) > f.MaxConfirmAge
 	f.mutex.Unlock()
 	current := f.Store.Current()
 	status := mfpeer.Status{
@@ -278,8 +278,8 @@
 	return p, ok
 }
 
-// Heard implements mfpeer.Node: what the peer has newer is fetched from it.
-func (f *Follower) Heard(from mfpeer.Peer, s mfpeer.Status) {
+// HandleStatus implements mfpeer.Node: what the peer has newer is fetched from it.
+func (f *Follower) HandleStatus(from mfpeer.Peer, s mfpeer.Status) {
 	current := f.Store.Current()
 	if s.Revision > current.Revision {
 		f.fetchChanges(from)
@@ -294,24 +294,24 @@
 	}
 }
 
-// Pushed implements mfpeer.Node.
-func (f *Follower) Pushed(from mfpeer.Peer, d mfsnapshot.Delta) {
+// HandleChanges implements mfpeer.Node.
+func (f *Follower) HandleChanges(from mfpeer.Peer, d mfsnapshot.Delta) {
 	f.adopt(d, SourcePeer)
 	if f.Store.Current().Revision < d.Revision {
 		f.fetchChanges(from)
 	}
 }
 
-// PushedPlacement implements mfpeer.Node.
-func (f *Follower) PushedPlacement(_ mfpeer.Peer, p mfplacement.Record) {
+// HandlePlacement implements mfpeer.Node.
+func (f *Follower) HandlePlacement(_ mfpeer.Peer, p mfplacement.Record) {
 	if p.DataCentre == f.DataCentre {
 		f.Store.AdoptPlacement(p)
 	}
 }
 
-// Accepted puts documents in force that this daemon accepted itself, and
+// PublishAccepted puts documents in force that this daemon accepted itself, and
 // pushes them to the peers.
-func (f *Follower) Accepted(ctx context.Context, revision mothferry.Revision) error {
+func (f *Follower) PublishAccepted(ctx context.Context, revision mothferry.Revision) error {
 	base := f.Store.Current().Revision
 	if base < revision {
 		if err := f.readDocuments(ctx); err != nil {
@@ -358,7 +358,7 @@
 		}
 	}
 	select {
-	case f.work <- run:
+	case f.fetches <- run:
 		f.fetching[subject] = true
 	default:
 	}
--- a/mffollow/fresh.go
+++ b/mffollow/fresh.go
@@ -33,12 +33,12 @@
 	for {
 		began := f.Clock.Now()
 		age := began.Sub(f.Confirmed())
-		if age > f.Notice && (resumed.IsZero() || began.Sub(previous) > f.Notice) {
+		if age > f.MaxConfirmAge && (resumed.IsZero() || began.Sub(previous) > f.MaxConfirmAge) {
 			resumed = began
 		}
 		previous = began
 		source := f.catchUp(ctx)
-		if source != SourceNone || resumed.IsZero() || f.Clock.Now().Sub(resumed) > f.Notice {
+		if source != SourceNone || resumed.IsZero() || f.Clock.Now().Sub(resumed) > f.MaxConfirmAge {
 			f.mutex.Lock()
 			f.confirmed = began
 			f.mutex.Unlock()
@@ -60,11 +60,11 @@
 // of the time, so that a frozen one does not use up that of the others.
 // It returns what confirmed the placements, or SourceNone if neither a peer nor the table did.
 func (f *Follower) catchUp(ctx context.Context) Source {
-	near := f.nearPeers()
-	part := f.Bound / time.Duration(len(near)+1)
+	near := f.localPeers()
+	part := f.CompareTimeout / time.Duration(len(near)+1)
 	for range near {
-		p := near[f.turn%len(near)]
-		f.turn++
+		p := near[f.nextPeer%len(near)]
+		f.nextPeer++
 		if f.compare(ctx, p, part) {
 			return SourcePeer
 		}
@@ -110,7 +110,7 @@
 	return false
 }
 
-func (f *Follower) nearPeers() []mfpeer.Peer {
+func (f *Follower) localPeers() []mfpeer.Peer {
 	var near []mfpeer.Peer
 	for _, p := range f.Mesh.Peers {
 		if p.DataCentre == f.DataCentre {
--- a/mffollow/fresh_test.go
+++ b/mffollow/fresh_test.go
@@ -29,16 +29,16 @@
 	return listener
 }
 
-// withholding is a daemon that tells of its placements and does not hand them out.
-type withholding struct{ *Follower }
+// placementWithholder is a daemon that tells of its placements and does not hand them out.
+type placementWithholder struct{ *Follower }
 
 // Placement implements mfpeer.Node.
-func (withholding) Placement(mothferry.PoolID) (mfplacement.Record, bool) {
+func (placementWithholder) Placement(mothferry.PoolID) (mfplacement.Record, bool) {
 	return mfplacement.Record{}, false
 }
 
-// withhold names the daemons that withhold their placements.
-var withhold = map[mothferry.DaemonID]bool{"short": true}
+// withholdsPlacements names the daemons that withhold their placements.
+var withholdsPlacements = map[mothferry.DaemonID]bool{"short": true}
 
 // follower returns a follower with a running mesh to the given peers.
 func follower(t *testing.T, name mothferry.DaemonID, listener net.Listener, peers ...mfpeer.Peer) *Follower {
@@ -47,15 +47,15 @@
 	table.SetDown(true)
 	f := &Follower{
 		Self: name, DataCentre: "dc1", Clock: mfclock.System{}, Table: table, Store: mfsnapshot.NewStore(),
-		Poll: time.Hour, Heartbeat: time.Hour, Bound: 6 * time.Second, Notice: 30 * time.Minute, Log: mflog.Discard(),
+		PollInterval: time.Hour, Heartbeat: time.Hour, CompareTimeout: 6 * time.Second, MaxConfirmAge: 30 * time.Minute, Log: mflog.Discard(),
 	}
 	f.Prepare(mfclock.SystemRandom{})
 	f.Mesh = &mfpeer.Mesh{
 		Self: name, DataCentre: "dc1", Listener: listener, Peers: peers, Heartbeat: time.Hour, Connect: time.Minute,
 		Timeout: time.Minute, Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Node: f, Log: mflog.Discard(),
 	}
-	if withhold[name] {
-		f.Mesh.Node = withholding{f}
+	if withholdsPlacements[name] {
+		f.Mesh.Node = placementWithholder{f}
 	}
 	f.Mesh.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -83,18 +83,18 @@
 	return mfpeer.Peer{Daemon: name, DataCentre: "dc1", Address: listener.Addr().String()}
 }
 
-// TestFrozenPeerHidesNoOther: symptom, a daemon that resumes from a pause sends
+// TestFrozenPeerDoesNotBlockOthers: symptom, a daemon that resumes from a pause sends
 // work to a runner that left. Sequence: of its two peers the one that it asks
 // first is frozen; the question uses up all the time for comparing, the other
 // peer is not asked, and the daemon takes its old placements for confirmed.
 // Cause: one bound for all peers together.
-func TestFrozenPeerHidesNoOther(t *testing.T) {
+func TestFrozenPeerDoesNotBlockOthers(t *testing.T) {
 	frozen, awake, own := listen(t), listen(t), listen(t)
 	other := follower(t, "awake", awake, peerAt("own", own))
 	other.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "p", Generation: 5})
 	f := follower(t, "own", own, peerAt("frozen", frozen), peerAt("awake", awake))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		f.turn = 1
+		f.nextPeer = 1
 		f.catchUp(t.Context())
 		if f.Store.Current().Placements["p"].Generation == 5 {
 			return poll.Success()
@@ -102,7 +102,7 @@
 		return poll.Continue("no session to the peer that is awake")
 	}, poll.WithTimeout(time.Minute))
 	f.Store = mfsnapshot.NewStore()
-	f.turn = 0
+	f.nextPeer = 0
 	f.catchUp(t.Context())
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
@@ -110,7 +110,7 @@
 // A daemon that resumed from a pause of 3 s sent three requests to runners that had left. The
 // peer that it compared its placements with told of newer ones, and did not hand them out in
 // time; the daemon took its old ones for confirmed all the same. It asks the next peer now.
-func TestPlacementsThatDidNotComeAreNotConfirmed(t *testing.T) {
+func TestMissingPlacementsAreNotConfirmed(t *testing.T) {
 	short, awake, own := listen(t), listen(t), listen(t)
 	others := []*Follower{
 		follower(t, "short", short, peerAt("own", own)),
@@ -121,20 +121,20 @@
 	for _, o := range others {
 		o.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "p", Generation: 5})
 	}
-	f.turn = 0
+	f.nextPeer = 0
 	f.catchUp(t.Context())
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
-// severable passes connections on to an address and can end them all.
-type severable struct {
+// severableProxy passes connections on to an address and can end them all.
+type severableProxy struct {
 	net.Listener
 
 	mutex       sync.Mutex
 	connections []net.Conn
 }
 
-func (s *severable) serve(to string) {
+func (s *severableProxy) serve(to string) {
 	for {
 		near, err := s.Accept()
 		if err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *severable) sever() {
+func (s *severableProxy) sever() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, c := range s.connections {
@@ -163,9 +163,9 @@
 }
 
 // A daemon whose sessions ended while it was paused must not take its old placements for confirmed.
-func TestPeerIsAskedAgainOverANewSession(t *testing.T) {
+func TestPeerIsAskedAgainOverNewSession(t *testing.T) {
 	awake, own := listen(t), listen(t)
-	between := &severable{Listener: listen(t)}
+	between := &severableProxy{Listener: listen(t)}
 	go between.serve(awake.Addr().String())
 	other := follower(t, "awake", awake, mfpeer.Peer{Daemon: "own", DataCentre: "dc1", Address: own.Addr().String()})
 	peer := mfpeer.Peer{Daemon: "awake", DataCentre: "dc1", Address: between.Addr().String()}
@@ -193,7 +193,7 @@
 	awaitSessions(t, f)
 	f.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "p", Generation: 4})
 	other.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "p", Generation: 5})
-	f.turn = 0
+	f.nextPeer = 0
 	f.catchUp(t.Context())
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
@@ -213,18 +213,18 @@
 	others[0].mutex.Lock()
 	others[0].confirmed = time.Now().Add(-time.Hour)
 	others[0].mutex.Unlock()
-	f.turn = 0
+	f.nextPeer = 0
 	f.catchUp(t.Context())
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
 // After a pause, placements must not count as confirmed merely because one round got no reply from slow peers.
-func TestSlowPeersConfirmNothingAfterAPause(t *testing.T) {
+func TestSlowPeersConfirmNothingAfterPause(t *testing.T) {
 	frozen, own := listen(t), listen(t)
 	f := follower(t, "own", own, mfpeer.Peer{Daemon: "frozen", DataCentre: "dc1", Address: frozen.Addr().String()})
 	resumed := time.Now()
 	f.mutex.Lock()
-	f.Bound, f.Notice, f.Heartbeat = 50*time.Millisecond, time.Second, 10*time.Millisecond
+	f.CompareTimeout, f.MaxConfirmAge, f.Heartbeat = 50*time.Millisecond, time.Second, 10*time.Millisecond
 	f.confirmed = resumed.Add(-time.Hour)
 	f.mutex.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -238,5 +238,5 @@
 		}
 		return poll.Continue("placements are not confirmed yet")
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
-	assert.Assert(t, time.Since(resumed) >= f.Notice)
+	assert.Assert(t, time.Since(resumed) >= f.MaxConfirmAge)
 }
--- a/mfoperate/handler.go
+++ b/mfoperate/handler.go
@@ -230,7 +230,7 @@
 		return
 	}
 	h.Log.WithField("service", change.Document.Service).WithField("revision", revision).WithField("author", change.Author).Info("Document accepted.")
-	if err := h.Follower.Accepted(r.Context(), revision); err != nil {
+	if err := h.Follower.PublishAccepted(r.Context(), revision); err != nil {
 		// The change is accepted and durable; the daemons' polls will find it.
 		h.Log.WithError(err).Warn("Accepted document could not be read back.")
 	}
--- a/mfpeer/call.go
+++ b/mfpeer/call.go
@@ -159,7 +159,7 @@
 		if err != nil {
 			return failure(err.Error())
 		}
-		m.Node.Pushed(from, delta)
+		m.Node.HandleChanges(from, delta)
 		return &mfwire.Reply{Kind: &mfwire.Reply_Status{Status: m.statusFor(from)}}
 	case *mfwire.Call_PlacementOf:
 		return m.answerPlacement(mothferry.PoolID(k.PlacementOf.GetPool()))
@@ -168,7 +168,7 @@
 		if err != nil {
 			return failure(err.Error())
 		}
-		m.Node.PushedPlacement(from, record)
+		m.Node.HandlePlacement(from, record)
 		return ack()
 	default:
 		return failure("call has no kind that is known here")
--- a/mfpeer/mesh.go
+++ b/mfpeer/mesh.go
@@ -35,12 +35,12 @@
 	Since(base mothferry.Revision) mfsnapshot.Delta
 	// Placement returns the placement of a pool of this data centre that is in force.
 	Placement(pool mothferry.PoolID) (mfplacement.Record, bool)
-	// Heard is called with each heartbeat of a peer.
-	Heard(from Peer, s Status)
-	// Pushed is called with documents that a peer pushes.
-	Pushed(from Peer, d mfsnapshot.Delta)
-	// PushedPlacement is called with a placement that a peer pushes.
-	PushedPlacement(from Peer, p mfplacement.Record)
+	// HandleStatus is called with each heartbeat of a peer.
+	HandleStatus(from Peer, s Status)
+	// HandleChanges is called with documents that a peer pushes.
+	HandleChanges(from Peer, d mfsnapshot.Delta)
+	// HandlePlacement is called with a placement that a peer pushes.
+	HandlePlacement(from Peer, p mfplacement.Record)
 }
 
 // Intervals and bounds that are not settings.
@@ -340,7 +340,7 @@
 	state := m.states[p.Daemon]
 	state.Heard, state.Status = m.Clock.Now(), status
 	m.mutex.Unlock()
-	m.Node.Heard(p, status)
+	m.Node.HandleStatus(p, status)
 }
 
 func (m *Mesh) session(peer mothferry.DaemonID) (*mfsession.Session, error) {
--- a/mfpeer/mesh_test.go
+++ b/mfpeer/mesh_test.go
@@ -44,19 +44,19 @@
 	return mfplacement.Record{DataCentre: "dc1", Pool: pool, Generation: 3}, pool == "p"
 }
 
-func (n *node) Heard(Peer, Status) {
+func (n *node) HandleStatus(Peer, Status) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.heard++
 }
 
-func (n *node) Pushed(_ Peer, d mfsnapshot.Delta) {
+func (n *node) HandleChanges(_ Peer, d mfsnapshot.Delta) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.pushed = append(n.pushed, d)
 }
 
-func (n *node) PushedPlacement(Peer, mfplacement.Record) {}
+func (n *node) HandlePlacement(Peer, mfplacement.Record) {}
 
 // pair runs two meshes that know each other.
 func pair(t *testing.T) (a, b *Mesh, nodes [2]*node) {
