--- a/mffleet/forward.go
+++ b/mffleet/forward.go
@@ -47,13 +47,13 @@
 	}
 	d.forwardClient = &mfforward.Client{
 		Daemon: d.Settings.Daemon, DataCentre: d.Settings.DataCentre, Health: d.store.health, Clock: d.Clock, Log: d.Log("forward"),
-		Passed: func(kind mfforward.Kind, outcome mfintake.Outcome) {
+		OnForwarded: func(kind mfforward.Kind, outcome mfintake.Outcome) {
 			passed.WithLabelValues(string(kind), string(outcome)).Inc()
 		},
 	}
 	d.forwardServer = &mfforward.Server{
 		Address: d.Settings.Forward, Intake: d.Intake, Store: d.store, Config: d.Config, Health: d.store.health, Clock: d.Clock, Log: d.Log("forward"),
-		Carried: func(kind mfforward.Kind, outcome mfintake.Outcome) {
+		OnServed: func(kind mfforward.Kind, outcome mfintake.Outcome) {
 			carried.WithLabelValues(string(kind), string(outcome)).Inc()
 		},
 	}
@@ -95,5 +95,5 @@
 
 // releaseViaPeer gives the shard up by a peer if the store turns this host away.
 func (d *Daemon) releaseViaPeer(ctx context.Context, head mfrecord.Head, version mothferry.Version) bool {
-	return d.store.health.Away(d.Clock.Now()) && d.forwardClient.Release(ctx, head, version)
+	return d.store.health.Unavailable(d.Clock.Now()) && d.forwardClient.Release(ctx, head, version)
 }
--- a/mfforward/choose.go
+++ b/mfforward/choose.go
@@ -12,49 +12,49 @@
 
 // Figures of the choice of a peer.
 const (
-	// awayFor is how long a peer that the store turns away is not asked again: a second
+	// avoidUnserved is how long a peer that the store turns away is not asked again: a second
 	// look soon, as the store may turn other hosts away by then.
-	awayFor = time.Second
-	// lostFor is how long a peer that was lost or can't be reached is not asked again:
+	avoidUnserved = time.Second
+	// avoidLost is how long a peer that was lost or can't be reached is not asked again:
 	// about as long as a restart takes.
-	lostFor = 2 * time.Second
-	// missesOut is how many peers in a row say that the store turns them away until it
+	avoidLost = 2 * time.Second
+	// missesBeforePause is how many peers in a row say that the store turns them away until it
 	// counts as out for all, and pauseFor how long then nobody is asked. With half of
 	// the hosts turned away that many in a row are one in 64.
-	missesOut = 6
-	pauseFor  = 500 * time.Millisecond
-	// missesFar is how many of those let the other data centres come first: the own one
+	missesBeforePause = 6
+	pauseDuration     = 500 * time.Millisecond
+	// missesBeforeRemote is how many of those let the other data centres come first: the own one
 	// may be cut off from the store.
-	missesFar = 3
+	missesBeforeRemote = 3
 )
 
 // Peers is what a host knows of the others. It is not safe for concurrent use.
 type Peers struct {
-	own        mothferry.DaemonID
+	self       mothferry.DaemonID
 	dataCentre mothferry.DataCentre
 	peers      []mfrecord.Host
 	avoided    map[mothferry.DaemonID]avoided
 	// misses counts the peers in a row that could not help.
-	misses int
-	paused time.Time
+	misses      int
+	pausedUntil time.Time
 }
 
 // avoided is until when a peer is not asked, and how often in a row it could not help.
 type avoided struct {
-	until time.Time
-	times int
+	until  time.Time
+	misses int
 }
 
 // NewPeers returns the peers of a host, of which none is known yet.
 func NewPeers(own mothferry.DaemonID, at mothferry.DataCentre) *Peers {
-	return &Peers{own: own, dataCentre: at, avoided: map[mothferry.DaemonID]avoided{}}
+	return &Peers{self: own, dataCentre: at, avoided: map[mothferry.DaemonID]avoided{}}
 }
 
 // Set replaces the hosts that are known.
 func (p *Peers) Set(hosts []mfrecord.Host) {
 	p.peers = nil
 	for _, h := range hosts {
-		if h.Daemon != p.own && h.Forward != "" {
+		if h.Daemon != p.self && h.Forward != "" {
 			p.peers = append(p.peers, h)
 		}
 	}
@@ -64,17 +64,17 @@
 // the own data centre come first, in an order of this host's own: the hosts that are
 // turned away spread over their peers, and each keeps to few of them.
 func (p *Peers) compare(a, b mfrecord.Host) int {
-	near := cmp.Compare(p.far(a), p.far(b))
-	if p.misses >= missesFar {
+	near := cmp.Compare(p.distance(a), p.distance(b))
+	if p.misses >= missesBeforeRemote {
 		near = -near
 	}
 	return cmp.Or(
-		cmp.Compare(p.avoided[a.Daemon].times, p.avoided[b.Daemon].times), near,
-		cmp.Compare(rank(p.own, a.Daemon), rank(p.own, b.Daemon)), cmp.Compare(a.Daemon, b.Daemon),
+		cmp.Compare(p.avoided[a.Daemon].misses, p.avoided[b.Daemon].misses), near,
+		cmp.Compare(rank(p.self, a.Daemon), rank(p.self, b.Daemon)), cmp.Compare(a.Daemon, b.Daemon),
 	)
 }
 
-func (p *Peers) far(h mfrecord.Host) int {
+func (p *Peers) distance(h mfrecord.Host) int {
 	if h.DataCentre == p.dataCentre {
 		return 0
 	}
@@ -104,7 +104,7 @@
 // the others. A peer that is turned away too, or is lost, is left out for a while
 // instead of costing each call a try, and when all are, nobody is asked.
 func (p *Peers) Choose(asked []mothferry.DaemonID, full func(mothferry.DaemonID) bool, now time.Time) (mfrecord.Host, bool) {
-	if now.Before(p.paused) {
+	if now.Before(p.pausedUntil) {
 		return mfrecord.Host{}, false
 	}
 	var best mfrecord.Host
@@ -120,35 +120,37 @@
 	return best, found
 }
 
-// Heard takes in whether the store serves a peer, as that told.
-func (p *Peers) Heard(peer mothferry.DaemonID, serving bool, now time.Time) {
+// RecordStatus takes in whether the store serves a peer, as that told.
+func (p *Peers) RecordStatus(peer mothferry.DaemonID, serving bool, now time.Time) {
 	if serving {
 		p.misses = 0
 		delete(p.avoided, peer)
 		return
 	}
-	p.miss(peer, now, awayFor)
+	p.recordMiss(peer, now, avoidUnserved)
 }
 
-// Lost takes in that a peer was lost or can't be reached.
-func (p *Peers) Lost(peer mothferry.DaemonID, now time.Time) { p.miss(peer, now, lostFor) }
+// RecordLoss takes in that a peer was lost or can't be reached.
+func (p *Peers) RecordLoss(peer mothferry.DaemonID, now time.Time) {
+	p.recordMiss(peer, now, avoidLost)
+}
 
-// miss leaves a peer out for a while. What several calls at a time hear of one peer is
+// recordMiss leaves a peer out for a while. What several calls at a time hear of one peer is
 // one miss.
-func (p *Peers) miss(peer mothferry.DaemonID, now time.Time, d time.Duration) {
+func (p *Peers) recordMiss(peer mothferry.DaemonID, now time.Time, d time.Duration) {
 	a := p.avoided[peer]
 	known := now.Before(a.until)
 	if until := now.Add(d); a.until.Before(until) {
 		a.until = until
 	}
 	if !known {
-		a.times++
+		a.misses++
 		p.misses++
 	}
 	p.avoided[peer] = a
-	if !known && p.misses >= missesOut {
+	if !known && p.misses >= missesBeforePause {
 		// The one that is asked next decides whether the pause goes on.
-		p.misses = missesOut - 1
-		p.paused = now.Add(pauseFor)
+		p.misses = missesBeforePause - 1
+		p.pausedUntil = now.Add(pauseDuration)
 	}
 }
--- a/mfforward/choose_test.go
+++ b/mfforward/choose_test.go
@@ -25,10 +25,10 @@
 	return hosts
 }
 
-func free(mothferry.DaemonID) bool { return false }
+func neverFull(mothferry.DaemonID) bool { return false }
 
 // Failure guarded against: the calls of half of the hosts all go to one peer, or across to another data centre.
-func TestHostsSpreadOverPeersNearBy(t *testing.T) {
+func TestHostsSpreadOverNearbyPeers(t *testing.T) {
 	hosts := append(hostsIn("a", 20), hostsIn("b", 20)...)
 	load := map[mothferry.DaemonID]int{}
 	near := 0
@@ -37,13 +37,13 @@
 		p.Set(hosts)
 		now := start
 		for tries := range 40 {
-			peer, ok := p.Choose(nil, free, now)
+			peer, ok := p.Choose(nil, neverFull, now)
 			assert.Assert(t, ok)
-			assert.Assert(t, peer.DataCentre == h.DataCentre || tries >= missesFar)
+			assert.Assert(t, peer.DataCentre == h.DataCentre || tries >= missesBeforeRemote)
 			assert.Assert(t, peer.Daemon != h.Daemon)
 			// The other nine are turned away too.
 			served := peer.Daemon >= "a-10"
-			p.Heard(peer.Daemon, served, now)
+			p.RecordStatus(peer.Daemon, served, now)
 			if served {
 				load[peer.Daemon]++
 				if peer.DataCentre == h.DataCentre {
@@ -51,7 +51,7 @@
 				}
 				break
 			}
-			now = now.Add(pauseFor)
+			now = now.Add(pauseDuration)
 		}
 	}
 	total := 0
@@ -64,59 +64,59 @@
 }
 
 // Failure guarded against: a data centre that is cut off from the store has its hosts ask each other, and no host of another one.
-func TestDataCentreTurnedAwayAsksAnother(t *testing.T) {
+func TestUnservedDataCentreAsksAnother(t *testing.T) {
 	p := NewPeers("a-00", "a")
 	p.Set(append(hostsIn("a", 14), hostsIn("b", 14)...))
 	var asked []mothferry.DaemonID
-	for range mostAsked {
-		peer, ok := p.Choose(asked, free, start)
+	for range maxPeersAsked {
+		peer, ok := p.Choose(asked, neverFull, start)
 		assert.Assert(t, ok)
 		asked = append(asked, peer.Daemon)
-		p.Heard(peer.Daemon, peer.DataCentre == "b", start)
+		p.RecordStatus(peer.Daemon, peer.DataCentre == "b", start)
 	}
-	assert.Equal(t, asked[mostAsked-1][0], byte('b'))
-	later, ok := p.Choose(nil, free, start.Add(10*time.Second))
+	assert.Equal(t, asked[maxPeersAsked-1][0], byte('b'))
+	later, ok := p.Choose(nil, neverFull, start.Add(10*time.Second))
 	assert.Assert(t, ok)
 	assert.Equal(t, later.DataCentre, mothferry.DataCentre("a"), "untried peers near by come before far ones")
 }
 
 // Failure guarded against: six calls at a time that ask one peer in vain count as six peers, and nobody is asked for a while.
-func TestCallsAtATimeAreOneMiss(t *testing.T) {
+func TestConcurrentFailuresAreOneMiss(t *testing.T) {
 	p := NewPeers("a-00", "a")
 	p.Set(hostsIn("a", 4))
-	peer, ok := p.Choose(nil, free, start)
+	peer, ok := p.Choose(nil, neverFull, start)
 	assert.Assert(t, ok)
-	for range 2 * missesOut {
-		p.Heard(peer.Daemon, false, start)
+	for range 2 * missesBeforePause {
+		p.RecordStatus(peer.Daemon, false, start)
 	}
-	other, ok := p.Choose(nil, free, start)
+	other, ok := p.Choose(nil, neverFull, start)
 	assert.Assert(t, ok)
 	assert.Assert(t, other.Daemon != peer.Daemon)
 }
 
 // Failure guarded against: with the store out for all, each call is passed round among all hosts.
-func TestStoreOutForAllEndsAsking(t *testing.T) {
+func TestStoreOutagePausesForwarding(t *testing.T) {
 	hosts := hostsIn("a", 40)
 	p := NewPeers("a-00", "a")
 	p.Set(hosts)
 	asked, now := 0, start
 	for ; now.Before(start.Add(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if peer, ok := p.Choose(nil, free, now); ok {
+		if peer, ok := p.Choose(nil, neverFull, now); ok {
 			asked++
-			p.Heard(peer.Daemon, false, now)
+			p.RecordStatus(peer.Daemon, false, now)
 		}
 	}
-	assert.Assert(t, asked <= missesOut+int(10*time.Second/pauseFor), "%d peers were asked in ten seconds", asked)
-	peer, ok := p.Choose(nil, free, now.Add(pauseFor))
+	assert.Assert(t, asked <= missesBeforePause+int(10*time.Second/pauseDuration), "%d peers were asked in ten seconds", asked)
+	peer, ok := p.Choose(nil, neverFull, now.Add(pauseDuration))
 	assert.Assert(t, ok)
-	p.Heard(peer.Daemon, true, now)
-	again, ok := p.Choose(nil, free, now.Add(pauseFor))
+	p.RecordStatus(peer.Daemon, true, now)
+	again, ok := p.Choose(nil, neverFull, now.Add(pauseDuration))
 	assert.Assert(t, ok)
 	assert.Equal(t, again.Daemon, peer.Daemon)
 }
 
 // Failure guarded against: peers that are full, lost, without an address or were asked for the same call are asked again.
-func TestPeersThatCanNotHelpAreLeftOut(t *testing.T) {
+func TestUnusablePeersAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := append(hostsIn("a", 4), hostsIn("b", 4)...)
 		hosts[1].Forward = ""
@@ -124,7 +124,7 @@
 		p.Set(hosts)
 		lost := hosts[rapid.IntRange(1, 7).Draw(t, "lost")].Daemon
 		full := hosts[rapid.IntRange(1, 7).Draw(t, "full")].Daemon
-		p.Lost(lost, start)
+		p.RecordLoss(lost, start)
 		now := start.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "later")) * time.Millisecond)
 		var asked []mothferry.DaemonID
 		for {
@@ -133,7 +133,7 @@
 				break
 			}
 			assert.Assert(t, peer.Daemon != full && peer.Daemon != "a-00" && peer.Forward != "")
-			assert.Assert(t, peer.Daemon != lost || now.Sub(start) >= lostFor)
+			assert.Assert(t, peer.Daemon != lost || now.Sub(start) >= avoidLost)
 			for _, d := range asked {
 				assert.Assert(t, d != peer.Daemon)
 			}
@@ -150,55 +150,55 @@
 }
 
 // Failure guarded against: one lost answer sends a host's calls to its peers, or a silent store is noticed only after a call's time-out.
-func TestStoreCountsAsAwayAfterMoreThanOneFailure(t *testing.T) {
+func TestStoreIsUnavailableAfterTwoFailures(t *testing.T) {
 	var h Health
 	declined := error(&mothferry.ErrDeclined{Operation: "commit", Status: 503})
-	assert.Assert(t, !h.Away(start) && !h.Serving(start))
+	assert.Assert(t, !h.Unavailable(start) && !h.Serving(start))
 	h.Begin(start)(nil, start.Add(5*time.Millisecond))
 	assert.Assert(t, h.Serving(start))
 	h.Begin(start)(declined, start)
-	assert.Assert(t, !h.Away(start))
+	assert.Assert(t, !h.Unavailable(start))
 	h.Begin(start)(declined, start)
-	assert.Assert(t, h.Away(start) && !h.Serving(start))
-	assert.Assert(t, !h.Away(start.Add(staleAfter)))
+	assert.Assert(t, h.Unavailable(start) && !h.Serving(start))
+	assert.Assert(t, !h.Unavailable(start.Add(failureTTL)))
 	h.Begin(start)(&mothferry.ErrConflict{}, start.Add(5*time.Millisecond))
-	assert.Assert(t, !h.Away(start))
+	assert.Assert(t, !h.Unavailable(start))
 
 	// A call that has no answer while later ones have is lost; the store is there.
 	end := h.Begin(start)
 	later := start.Add(100 * time.Millisecond)
 	h.Begin(later)(nil, later.Add(5*time.Millisecond))
-	assert.Assert(t, !h.Away(start.Add(time.Second)))
+	assert.Assert(t, !h.Unavailable(start.Add(time.Second)))
 	end(errors.New("timed out"), start.Add(time.Second))
-	assert.Assert(t, !h.Away(start.Add(time.Second)))
+	assert.Assert(t, !h.Unavailable(start.Add(time.Second)))
 
 	silent := start.Add(2 * time.Second)
 	h.Begin(silent)
-	assert.Assert(t, !h.Away(silent.Add(silentAfter-time.Millisecond)))
-	assert.Assert(t, h.Away(silent.Add(silentAfter)))
+	assert.Assert(t, !h.Unavailable(silent.Add(unresponsiveAfter-time.Millisecond)))
+	assert.Assert(t, h.Unavailable(silent.Add(unresponsiveAfter)))
 }
 
 // Failure guarded against: a store that is slow for all counts as silent, and all hosts ask each other.
-func TestSlowStoreIsNotAway(t *testing.T) {
+func TestSlowStoreIsAvailable(t *testing.T) {
 	var h Health
 	h.Begin(start)(nil, start.Add(400*time.Millisecond))
 	next := start.Add(500 * time.Millisecond)
 	h.Begin(next)
-	assert.Assert(t, !h.Away(next.Add(1100*time.Millisecond)))
-	assert.Assert(t, h.Away(next.Add(1200*time.Millisecond)))
+	assert.Assert(t, !h.Unavailable(next.Add(1100*time.Millisecond)))
+	assert.Assert(t, h.Unavailable(next.Add(1200*time.Millisecond)))
 }
 
 // Failure guarded against: a refusal of a job that may be stored, by this host or by a peer, or an answer that is known is thrown away.
-func TestAnswersKeepTheirMeaning(t *testing.T) {
+func TestCombineAnswers(t *testing.T) {
 	all := []mfintake.Outcome{
 		"", mfintake.OutcomeDone, mfintake.OutcomeNotRun, mfintake.OutcomeUnknown, mfintake.OutcomeNoJob, mfintake.OutcomeIDTaken,
 	}
-	peers := append([]mfintake.Outcome{OutcomeNoPeer, OutcomeLimit, OutcomeNoKey, outcomeAway}, all[1:]...)
+	peers := append([]mfintake.Outcome{OutcomeNoPeer, OutcomeLimit, OutcomeNoKey, outcomeUnserved}, all[1:]...)
 	for _, k := range []Kind{KindAccept, KindState, KindCancel} {
 		for _, own := range all {
 			for _, peer := range peers {
 				for _, unclear := range []bool{false, true} {
-					a := settle(k, Answer{Outcome: own}, Answer{Outcome: peer}, unclear)
+					a := combineAnswers(k, Answer{Outcome: own}, Answer{Outcome: peer}, unclear)
 					what := fmt.Sprintf("%s: own %q, peer %q, unclear %v: %q", k, own, peer, unclear, a.Outcome)
 					refused := a.Outcome == mfintake.OutcomeNotRun || a.Outcome == OutcomeNoKey
 					mayBe := own == mfintake.OutcomeUnknown || peer == mfintake.OutcomeUnknown || k == KindAccept && unclear
@@ -207,7 +207,7 @@
 					assert.Assert(t, a.Outcome != mfintake.OutcomeDone || own == mfintake.OutcomeDone || peer == mfintake.OutcomeDone, what)
 					assert.Assert(t, k != KindState || a.Outcome != mfintake.OutcomeNotRun, what)
 					if peer == mfintake.OutcomeUnknown {
-						assert.Equal(t, elsewhere(k, Answer{Outcome: peer}), k == KindState)
+						assert.Equal(t, retryElsewhere(k, Answer{Outcome: peer}), k == KindState)
 					}
 				}
 			}
@@ -216,9 +216,9 @@
 }
 
 // Failure guarded against: a message of another program's version is taken for something that it does not say.
-func TestMessagesKeepCalls(t *testing.T) {
-	for o := range outcomes {
-		assert.Equal(t, decodeReply(encodeReply(Answer{Outcome: o, Again: time.Second}, true)), Answer{Outcome: o, Again: time.Second})
+func TestReplyRoundTrip(t *testing.T) {
+	for o := range outcomeToWire {
+		assert.Equal(t, decodeReply(encodeReply(Answer{Outcome: o, RetryAfter: time.Second}, true)), Answer{Outcome: o, RetryAfter: time.Second})
 	}
 	assert.Equal(t, decodeReply(encodeReply(Answer{Outcome: "other"}, true)).Outcome, mfintake.OutcomeUnknown)
 }
--- a/mfforward/client.go
+++ b/mfforward/client.go
@@ -16,24 +16,24 @@
 
 // Bounds of what one host passes on.
 const (
-	// mostCalls bounds the calls that are passed on at a time, eachCalls those to one
+	// maxCalls bounds the calls that are passed on at a time, eachCalls those to one
 	// peer, which has callers of its own.
-	mostCalls = 96
-	eachCalls = 32
-	// mostBytes bounds the jobs in them.
-	mostBytes = 8 << 20
-	mostJob   = maxFrame / 2
-	// mostAsked is how many peers are asked for one call.
-	mostAsked = 4
-	// stateWithin bounds a look-up at one peer, so that another can be asked; hand-ins and
+	maxCalls        = 96
+	maxCallsPerPeer = 32
+	// maxSubmissionsBytes bounds the jobs in them.
+	maxSubmissionsBytes = 8 << 20
+	maxSubmissionBytes  = maxFrame / 2
+	// maxPeersAsked is how many peers are asked for one call.
+	maxPeersAsked = 4
+	// lookupTimeout bounds a look-up at one peer, so that another can be asked; hand-ins and
 	// cancels go to one peer and wait as long as their caller, up to writeWithin.
-	stateWithin = 600 * time.Millisecond
-	writeWithin = 2 * time.Second
-	// lookEvery is how often a host that is turned away looks for a peer without a call.
-	lookEvery = 150 * time.Millisecond
-	// mostLogged bounds the lines a second about calls; the next line tells how many
+	lookupTimeout = 600 * time.Millisecond
+	writeTimeout  = 2 * time.Second
+	// probeInterval is how often a host that is turned away looks for a peer without a call.
+	probeInterval = 150 * time.Millisecond
+	// maxLogLinesPerSecond bounds the lines a second about calls; the next line tells how many
 	// were left out.
-	mostLogged = 50
+	maxLogLinesPerSecond = 50
 )
 
 // Client passes calls on to peers. The exported fields are set before use.
@@ -43,8 +43,8 @@
 	Health     *Health
 	Clock      mothferry.Clock
 	Log        *log.Entry
-	// Passed counts calls by their kind and outcome; it may be nil.
-	Passed func(kind Kind, outcome mfintake.Outcome)
+	// OnForwarded counts calls by their kind and outcome; it may be nil.
+	OnForwarded func(kind Kind, outcome mfintake.Outcome)
 
 	mutex sync.Mutex
 	peers *Peers
@@ -53,20 +53,20 @@
 	bytes int
 	ctx   context.Context
 	// logged counts the lines since a time, leftOut those that were not written.
-	logged  int
-	since   time.Time
-	leftOut int
+	logged      int
+	loggedSince time.Time
+	suppressed  int
 }
 
 // SetHosts replaces the hosts that are known.
 func (c *Client) SetHosts(hosts []mfrecord.Host) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.known().Set(hosts)
+	c.ensurePeers().Set(hosts)
 }
 
-// known returns the peers; the mutex is held.
-func (c *Client) known() *Peers {
+// ensurePeers returns the peers; the mutex is held.
+func (c *Client) ensurePeers() *Peers {
 	if c.peers == nil {
 		c.peers = NewPeers(c.Daemon, c.DataCentre)
 		c.links = map[mothferry.DaemonID]*link{}
@@ -80,10 +80,10 @@
 	c.mutex.Lock()
 	c.ctx = ctx
 	c.mutex.Unlock()
-	for mfclock.Sleep(ctx, c.Clock, lookEvery) {
-		if now := c.Clock.Now(); c.Health.Away(now) && !c.Ready() {
-			if l, done, ok := c.next(nil); ok {
-				c.look(l)
+	for mfclock.Sleep(ctx, c.Clock, probeInterval) {
+		if now := c.Clock.Now(); c.Health.Unavailable(now) && !c.Ready() {
+			if l, done, ok := c.nextLink(nil); ok {
+				c.probe(l)
 				done()
 			}
 		}
@@ -91,12 +91,12 @@
 	return ctx.Err()
 }
 
-// look asks a peer whether the store serves it.
-func (c *Client) look(l *link) {
+// probe asks a peer whether the store serves it.
+func (c *Client) probe(l *link) {
 	<-l.ready
-	if l.failed == nil {
+	if l.dialErr == nil {
 		// A peer that does not answer is lost at the link's next beat.
-		_, _, _ = l.exchange(&mfwire.Call{}, beatWithin)
+		_, _, _ = l.exchange(&mfwire.Call{}, heartbeatTimeout)
 	}
 }
 
@@ -105,34 +105,34 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, l := range c.links {
-		if l.can(c.Clock.Now()) {
+		if l.servedRecently(c.Clock.Now()) {
 			return true
 		}
 	}
 	return false
 }
 
-// next returns a link to the peer to ask next, and what ends its use; false if there is none.
-func (c *Client) next(asked []mothferry.DaemonID) (l *link, done func(), ok bool) {
+// nextLink returns a link to the peer to ask next, and what ends its use; false if there is none.
+func (c *Client) nextLink(asked []mothferry.DaemonID) (l *link, done func(), ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.ctx == nil || c.ctx.Err() != nil {
 		return nil, nil, false
 	}
-	full := func(d mothferry.DaemonID) bool { return c.links[d] != nil && c.links[d].calls() >= eachCalls }
-	h, ok := c.known().Choose(asked, full, c.Clock.Now())
+	full := func(d mothferry.DaemonID) bool { return c.links[d] != nil && c.links[d].calls() >= maxCallsPerPeer }
+	h, ok := c.ensurePeers().Choose(asked, full, c.Clock.Now())
 	if !ok {
 		return nil, nil, false
 	}
 	if l = c.links[h.Daemon]; l != nil {
 		return l, l.begin(), true
 	}
-	l = &link{host: h, clock: c.Clock, ready: make(chan struct{}), used: c.Clock.Now()}
-	l.told = func(serving bool) { c.told(l, serving) }
+	l = &link{host: h, clock: c.Clock, ready: make(chan struct{}), lastUsed: c.Clock.Now()}
+	l.onStatus = func(serving bool) { c.recordStatus(l, serving) }
 	l.retire = func() bool { return c.retire(l) }
 	c.links[h.Daemon] = l
 	done = l.begin()
-	go c.keep(c.ctx, l)
+	go c.runLink(c.ctx, l)
 	return l, done, true
 }
 
@@ -147,8 +147,8 @@
 	return true
 }
 
-// keep runs a link until it ends.
-func (c *Client) keep(ctx context.Context, l *link) {
+// runLink runs a link until it ends.
+func (c *Client) runLink(ctx context.Context, l *link) {
 	err := l.run(ctx)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -156,75 +156,75 @@
 		delete(c.links, l.host.Daemon)
 	}
 	if err != nil && ctx.Err() == nil {
-		c.peers.Lost(l.host.Daemon, c.Clock.Now())
+		c.peers.RecordLoss(l.host.Daemon, c.Clock.Now())
 		c.Log.WithError(err).WithField("peer", l.host.Daemon).WithField("calls", l.calls()).Warn("peer is lost")
 	}
 }
 
-func (c *Client) told(l *link, serving bool) {
+func (c *Client) recordStatus(l *link, serving bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.peers.Heard(l.host.Daemon, serving, c.Clock.Now())
+	c.peers.RecordStatus(l.host.Daemon, serving, c.Clock.Now())
 }
 
-// Pass has a peer carry a call out, within the deadline of ctx.
-func (c *Client) Pass(ctx context.Context, call Call) Answer {
+// Forward has a peer carry a call out, within the deadline of ctx.
+func (c *Client) Forward(ctx context.Context, call Call) Answer {
 	began := c.Clock.Now()
-	peer, answer := c.pass(ctx, call)
+	peer, answer := c.forward(ctx, call)
 	if call.Kind == kindCount {
 		return answer
 	}
-	if c.Passed != nil {
-		c.Passed(call.Kind, counted(answer.Outcome))
+	if c.OnForwarded != nil {
+		c.OnForwarded(call.Kind, reportedOutcome(answer.Outcome))
 	}
-	leftOut, ok := c.mayLog()
+	leftOut, ok := c.allowLog()
 	if !ok {
 		return answer
 	}
 	c.Log.WithFields(log.Fields{
-		"job": call.Job, "kind": call.Kind, "peer": peer, "outcome": counted(answer.Outcome), "took_ms": c.Clock.Now().Sub(began).Milliseconds(),
+		"job": call.Job, "kind": call.Kind, "peer": peer, "outcome": reportedOutcome(answer.Outcome), "took_ms": c.Clock.Now().Sub(began).Milliseconds(),
 		"left_out": leftOut,
 	}).Info("call is passed on to a peer")
 	return answer
 }
 
-// mayLog reports whether a line about a call may be written, and how many were not.
-func (c *Client) mayLog() (leftOut int, ok bool) {
+// allowLog reports whether a line about a call may be written, and how many were not.
+func (c *Client) allowLog() (leftOut int, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now := c.Clock.Now(); now.Sub(c.since) >= time.Second {
-		c.since, c.logged = now, 0
+	if now := c.Clock.Now(); now.Sub(c.loggedSince) >= time.Second {
+		c.loggedSince, c.logged = now, 0
 	}
-	if c.logged >= mostLogged {
-		c.leftOut++
+	if c.logged >= maxLogLinesPerSecond {
+		c.suppressed++
 		return 0, false
 	}
 	c.logged++
-	leftOut, c.leftOut = c.leftOut, 0
+	leftOut, c.suppressed = c.suppressed, 0
 	return leftOut, true
 }
 
-// pass returns the last peer that was asked too.
-func (c *Client) pass(ctx context.Context, call Call) (mothferry.DaemonID, Answer) {
+// forward returns the last peer that was asked too.
+func (c *Client) forward(ctx context.Context, call Call) (mothferry.DaemonID, Answer) {
 	message, err := encodeCall(call, 0)
 	if err != nil {
 		c.Log.WithError(err).WithField("job", call.Job).Error("call can't be passed on")
 		return "", Answer{Outcome: OutcomeNoPeer}
 	}
 	size := len(message.GetSubmission())
-	if !c.begin(size) {
+	if !c.beginCall(size) {
 		return "", Answer{Outcome: OutcomeLimit}
 	}
-	defer c.end(size)
+	defer c.endCall(size)
 	answer := Answer{Outcome: OutcomeNoPeer}
 	var asked []mothferry.DaemonID
 	var peer mothferry.DaemonID
-	for len(asked) < mostAsked {
-		within := c.within(ctx, call.Kind)
+	for len(asked) < maxPeersAsked {
+		within := c.callTimeout(ctx, call.Kind)
 		if within <= 0 {
 			break
 		}
-		l, done, ok := c.next(asked)
+		l, done, ok := c.nextLink(asked)
 		if !ok {
 			break
 		}
@@ -232,7 +232,7 @@
 		asked = append(asked, peer)
 		message.WithinMs = within.Milliseconds()
 		<-l.ready
-		if l.failed != nil {
+		if l.dialErr != nil {
 			done()
 			continue
 		}
@@ -246,17 +246,17 @@
 		default:
 			answer = decodeReply(reply)
 		}
-		if !elsewhere(call.Kind, answer) {
+		if !retryElsewhere(call.Kind, answer) {
 			break
 		}
 	}
 	return peer, answer
 }
 
-func (c *Client) within(ctx context.Context, k Kind) time.Duration {
-	most := writeWithin
-	if k.looks() {
-		most = stateWithin
+func (c *Client) callTimeout(ctx context.Context, k Kind) time.Duration {
+	most := writeTimeout
+	if k.readOnly() {
+		most = lookupTimeout
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		return min(most, time.Until(deadline))
@@ -264,10 +264,10 @@
 	return most
 }
 
-func (c *Client) begin(size int) bool {
+func (c *Client) beginCall(size int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.calls >= mostCalls || c.bytes+size > mostBytes || size > mostJob {
+	if c.calls >= maxCalls || c.bytes+size > maxSubmissionsBytes || size > maxSubmissionBytes {
 		return false
 	}
 	c.calls++
@@ -275,7 +275,7 @@
 	return true
 }
 
-func (c *Client) end(size int) {
+func (c *Client) endCall(size int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.calls--
--- a/mfforward/forward.go
+++ b/mfforward/forward.go
@@ -38,8 +38,8 @@
 	kindCount Kind = "count"
 )
 
-// looks reports whether a call changes nothing.
-func (k Kind) looks() bool { return k == KindState || k == kindCount }
+// readOnly reports whether a call changes nothing.
+func (k Kind) readOnly() bool { return k == KindState || k == kindCount }
 
 // Outcomes of a call beside those of mfintake.
 const (
@@ -49,8 +49,8 @@
 	OutcomeLimit mfintake.Outcome = "limit"
 	// OutcomeNoKey: the caller's key is no longer in force, and nothing was done.
 	OutcomeNoKey mfintake.Outcome = "no_key"
-	// outcomeAway: the store does not serve the peer either, and nothing was done.
-	outcomeAway mfintake.Outcome = "away"
+	// outcomeUnserved: the store does not serve the peer either, and nothing was done.
+	outcomeUnserved mfintake.Outcome = "away"
 )
 
 // Caller is who makes a call, as the host that got it knows by its config.
@@ -72,8 +72,8 @@
 	Queue mothferry.QueueID
 	// Submission is the job that is handed in.
 	Submission mfjob.Submission
-	// Unclear says that an earlier write of the job may still be made.
-	Unclear bool
+	// Unresolved says that an earlier write of the job may still be made.
+	Unresolved bool
 }
 
 // Answer is how a call ended.
@@ -83,57 +83,57 @@
 	State mfjob.State
 	// Count is how many jobs have not begun.
 	Count int
-	// Again is when a job that was refused may come back; zero if that is not told.
-	Again time.Duration
+	// RetryAfter is when a job that was refused may come back; zero if that is not told.
+	RetryAfter time.Duration
 }
 
-// undone reports whether certainly nothing came of a call at a peer.
-func undone(o mfintake.Outcome) bool {
+// notExecuted reports whether certainly nothing came of a call at a peer.
+func notExecuted(o mfintake.Outcome) bool {
 	switch o {
-	case mfintake.OutcomeNotRun, OutcomeNoPeer, OutcomeLimit, OutcomeNoKey, outcomeAway:
+	case mfintake.OutcomeNotRun, OutcomeNoPeer, OutcomeLimit, OutcomeNoKey, outcomeUnserved:
 		return true
 	default:
 		return false
 	}
 }
 
-// elsewhere reports whether a call may be made at another peer after it ended like
+// retryElsewhere reports whether a call may be made at another peer after it ended like
 // this at one. A hand-in or cancel without an answer is not sent on: it would meet the
 // next peer with the same load, and its caller has waited long already.
-func elsewhere(k Kind, a Answer) bool {
+func retryElsewhere(k Kind, a Answer) bool {
 	switch {
-	case a.Again > 0 || a.Outcome == OutcomeNoKey:
+	case a.RetryAfter > 0 || a.Outcome == OutcomeNoKey:
 		// The peer was well, and refused.
 		return false
-	case undone(a.Outcome):
+	case notExecuted(a.Outcome):
 		return true
 	default:
-		return k.looks() && a.Outcome == mfintake.OutcomeUnknown
+		return k.readOnly() && a.Outcome == mfintake.OutcomeUnknown
 	}
 }
 
-// settle returns the answer to a caller, given how this host's own attempt ended, if
+// combineAnswers returns the answer to a caller, given how this host's own attempt ended, if
 // there was one, and how a peer's did. Unclear says that a write of the job may still
 // be made: it must not be refused then.
-func settle(k Kind, own, peer Answer, unclear bool) Answer {
+func combineAnswers(k Kind, own, peer Answer, unclear bool) Answer {
 	switch {
 	case own.Outcome == mfintake.OutcomeDone || own.Outcome == mfintake.OutcomeIDTaken || own.Outcome == mfintake.OutcomeNoJob:
 		return own
-	case !undone(peer.Outcome):
+	case !notExecuted(peer.Outcome):
 		return peer
 	case peer.Outcome == OutcomeNoKey && own.Outcome != mfintake.OutcomeUnknown && !(k == KindAccept && unclear):
 		return peer
-	case k.looks() || own.Outcome == mfintake.OutcomeUnknown || k == KindAccept && unclear:
+	case k.readOnly() || own.Outcome == mfintake.OutcomeUnknown || k == KindAccept && unclear:
 		return Answer{Outcome: mfintake.OutcomeUnknown}
 	default:
-		return Answer{Outcome: mfintake.OutcomeNotRun, Again: peer.Again}
+		return Answer{Outcome: mfintake.OutcomeNotRun, RetryAfter: peer.RetryAfter}
 	}
 }
 
-// counted returns the outcome under which a call is counted and logged.
-func counted(o mfintake.Outcome) mfintake.Outcome {
+// reportedOutcome returns the outcome under which a call is counted and logged.
+func reportedOutcome(o mfintake.Outcome) mfintake.Outcome {
 	switch o {
-	case outcomeAway:
+	case outcomeUnserved:
 		return OutcomeNoPeer
 	case OutcomeNoKey:
 		return mfintake.OutcomeNotRun
--- a/mfforward/health.go
+++ b/mfforward/health.go
@@ -11,37 +11,37 @@
 
 // Figures of what a host takes for the store's turning it away.
 const (
-	// failuresAway is how many calls in a row fail until the store counts as not
+	// failureThreshold is how many calls in a row fail until the store counts as not
 	// serving this host: a single one is lost or refused on a store that is well too.
-	failuresAway = 2
-	// staleAfter is after how long without a failed call that no longer holds. A host
+	failureThreshold = 2
+	// failureTTL is after how long without a failed call that no longer holds. A host
 	// reads who owns the shard three times a second.
-	staleAfter = 3 * time.Second
-	// silentAfter is after how long without an answer to a call, and to any later one, the
+	failureTTL = 3 * time.Second
+	// unresponsiveAfter is after how long without an answer to a call, and to any later one, the
 	// store counts as silent: sooner than calls time out, as a caller waits for as
 	// long as they do. On a slow store it is slowFactor times what the last answer took.
-	silentAfter = 300 * time.Millisecond
-	slowFactor  = 3
-	// trialEvery is how often a look-up is tried at a store that turns this host away: a
+	unresponsiveAfter = 300 * time.Millisecond
+	slowFactor        = 3
+	// trialInterval is how often a look-up is tried at a store that turns this host away: a
 	// read of the shard's owner that was lost shows only after its time-out that the
 	// store is back.
-	trialEvery = 250 * time.Millisecond
+	trialInterval = 250 * time.Millisecond
 )
 
 // Health is what a host saw lately of its own calls to the store. The zero value is
 // ready for use.
 type Health struct {
-	mutex    sync.Mutex
-	failures int
-	last     time.Time
-	// answered is when the call began that was answered last; calls to the store that
+	mutex       sync.Mutex
+	failures    int
+	lastFailure time.Time
+	// lastAnsweredStart is when the call began that was answered last; calls to the store that
 	// began before it and have no answer say nothing.
-	answered time.Time
-	took     time.Duration
-	open     map[int]time.Time
-	number   int
-	// tried is when a call was last let through as a trial.
-	tried time.Time
+	lastAnsweredStart time.Time
+	lastLatency       time.Duration
+	pending           map[int]time.Time
+	lastID            int
+	// lastTrial is when a call was last let through as a trial.
+	lastTrial time.Time
 }
 
 // Begin notes that a call to the store begins. What it returns is to be called with
@@ -49,66 +49,66 @@
 func (h *Health) Begin(now time.Time) func(err error, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.open == nil {
-		h.open = map[int]time.Time{}
+	if h.pending == nil {
+		h.pending = map[int]time.Time{}
 	}
-	h.number++
-	number := h.number
-	h.open[number] = now
+	h.lastID++
+	number := h.lastID
+	h.pending[number] = now
 	return func(err error, now time.Time) { h.end(number, err, now) }
 }
 
 func (h *Health) end(number int, err error, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	began := h.open[number]
-	delete(h.open, number)
+	began := h.pending[number]
+	delete(h.pending, number)
 	var conflict *mothferry.ErrConflict
 	switch {
 	case err == nil || errors.As(err, &conflict):
-		h.failures, h.took = 0, now.Sub(began)
-		if began.After(h.answered) {
-			h.answered = began
+		h.failures, h.lastLatency = 0, now.Sub(began)
+		if began.After(h.lastAnsweredStart) {
+			h.lastAnsweredStart = began
 		}
 	case !errors.Is(err, context.Canceled):
 		h.failures++
-		h.last = now
+		h.lastFailure = now
 	}
 }
 
-// Away reports whether the store turns this host away or can't be reached.
+// Unavailable reports whether the store turns this host away or can't be reached.
 //
 // The load it answers: a store that serves a part of the hosts only. Each call that is
 // sent to it all the same costs its caller the time until it fails. Reads of the
 // shard's owner go on meanwhile, and the first that succeeds ends it.
-func (h *Health) Away(now time.Time) bool {
+func (h *Health) Unavailable(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.away(now)
+	return h.unavailable(now)
 }
 
-func (h *Health) away(now time.Time) bool {
-	if h.failures >= failuresAway && now.Sub(h.last) < staleAfter {
+func (h *Health) unavailable(now time.Time) bool {
+	if h.failures >= failureThreshold && now.Sub(h.lastFailure) < failureTTL {
 		return true
 	}
-	patience := max(silentAfter, slowFactor*h.took)
-	for _, began := range h.open {
-		if began.After(h.answered) && now.Sub(began) >= patience {
+	patience := max(unresponsiveAfter, slowFactor*h.lastLatency)
+	for _, began := range h.pending {
+		if began.After(h.lastAnsweredStart) && now.Sub(began) >= patience {
 			return true
 		}
 	}
 	return false
 }
 
-// Trial reports whether a look-up may go to a store that turns this host away. It does
+// AllowTrial reports whether a look-up may go to a store that turns this host away. It does
 // so once each trialEvery.
-func (h *Health) Trial(now time.Time) bool {
+func (h *Health) AllowTrial(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if now.Sub(h.tried) < trialEvery {
+	if now.Sub(h.lastTrial) < trialInterval {
 		return false
 	}
-	h.tried = now
+	h.lastTrial = now
 	return true
 }
 
@@ -116,5 +116,5 @@
 func (h *Health) Serving(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return !h.answered.IsZero() && !h.away(now)
+	return !h.lastAnsweredStart.IsZero() && !h.unavailable(now)
 }
--- a/mfforward/link.go
+++ b/mfforward/link.go
@@ -20,14 +20,14 @@
 
 // Times and bounds of a link.
 const (
-	// dialWithin bounds the making of a connection: its caller waits.
-	dialWithin = 300 * time.Millisecond
-	// beatEvery is how often a peer is asked for a sign, beatWithin how long that may
+	// dialTimeout bounds the making of a connection: its caller waits.
+	dialTimeout = 300 * time.Millisecond
+	// heartbeatInterval is how often a peer is asked for a sign, beatWithin how long that may
 	// take. Every call of the link ends with it if it does not come.
-	beatEvery  = 250 * time.Millisecond
-	beatWithin = 450 * time.Millisecond
-	// idleAfter is after how long without a call a link is closed.
-	idleAfter = 5 * time.Second
+	heartbeatInterval = 250 * time.Millisecond
+	heartbeatTimeout  = 450 * time.Millisecond
+	// idleTimeout is after how long without a call a link is closed.
+	idleTimeout = 5 * time.Second
 	// maxFrame bounds one message, in bytes: a job of the largest body and its fields.
 	maxFrame = 1 << 20
 )
@@ -36,20 +36,20 @@
 type link struct {
 	host  mfrecord.Host
 	clock mothferry.Clock
-	// told is told of each sign of the peer whether the store serves it.
-	told func(serving bool)
+	// onStatus is told of each sign of the peer whether the store serves it.
+	onStatus func(serving bool)
 
 	// ready is closed once the connection is made or could not be.
 	ready   chan struct{}
 	session *mfsession.Session
-	failed  error
+	dialErr error
 	// retire takes the link away if it is idle, and reports whether it was.
 	retire func() bool
 
-	mutex sync.Mutex
-	used  time.Time
-	open  int
-	heard time.Time
+	mutex     sync.Mutex
+	lastUsed  time.Time
+	openCalls int
+	lastHeard time.Time
 	// serving is what the peer said last.
 	serving bool
 }
@@ -57,7 +57,7 @@
 // run connects and keeps the link until it is idle, silent or ctx ends.
 func (l *link) run(ctx context.Context) error {
 	err := l.connect(ctx)
-	l.failed = err
+	l.dialErr = err
 	close(l.ready)
 	if err != nil {
 		return err
@@ -69,19 +69,19 @@
 			return nil
 		case <-l.session.CloseChan():
 			return trace.Errorf("peer ended the connection")
-		case <-l.clock.After(beatEvery):
+		case <-l.clock.After(heartbeatInterval):
 		}
 		if l.retire() {
 			return nil
 		}
-		if _, _, err := l.exchange(&mfwire.Call{}, beatWithin); err != nil {
+		if _, _, err := l.exchange(&mfwire.Call{}, heartbeatTimeout); err != nil {
 			return trace.Wrap(err, "peer is silent")
 		}
 	}
 }
 
 func (l *link) connect(ctx context.Context) error {
-	dialer := &net.Dialer{Timeout: dialWithin}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", l.host.Forward)
 	if err != nil {
 		return trace.Wrap(err)
@@ -100,26 +100,26 @@
 	config.LogOutput = io.Discard
 	// Beats find out dead sessions sooner than yamux's own keep-alive.
 	config.EnableKeepAlive = false
-	config.ConnectionWriteTimeout = beatWithin
+	config.ConnectionWriteTimeout = heartbeatTimeout
 	return config
 }
 
 func (l *link) idle() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.open == 0 && l.clock.Now().Sub(l.used) > idleAfter
+	return l.openCalls == 0 && l.clock.Now().Sub(l.lastUsed) > idleTimeout
 }
 
 // begin counts a call over the link, which keeps it open; the result ends that.
 func (l *link) begin() func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.open++
-	l.used = l.clock.Now()
+	l.openCalls++
+	l.lastUsed = l.clock.Now()
 	return func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.open--
+		l.openCalls--
 	}
 }
 
@@ -127,14 +127,14 @@
 func (l *link) calls() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.open
+	return l.openCalls
 }
 
-// can reports whether the peer said lately that the store serves it.
-func (l *link) can(now time.Time) bool {
+// servedRecently reports whether the peer said lately that the store serves it.
+func (l *link) servedRecently(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.serving && now.Sub(l.heard) < beatEvery+beatWithin
+	return l.serving && now.Sub(l.lastHeard) < heartbeatInterval+heartbeatTimeout
 }
 
 // exchange makes one call over an open link. Sent reports whether the peer may have got it.
@@ -155,8 +155,8 @@
 		return nil, true, trace.Wrap(err)
 	}
 	l.mutex.Lock()
-	l.heard, l.serving = l.clock.Now(), reply.GetServing()
+	l.lastHeard, l.serving = l.clock.Now(), reply.GetServing()
 	l.mutex.Unlock()
-	l.told(reply.GetServing())
+	l.onStatus(reply.GetServing())
 	return reply, true, nil
 }
--- a/mfforward/message.go
+++ b/mfforward/message.go
@@ -10,26 +10,26 @@
 	"mothferry/mfjob"
 )
 
-var kinds = map[Kind]mfwire.Kind{
+var kindToWire = map[Kind]mfwire.Kind{
 	KindAccept: mfwire.Kind_KIND_ACCEPT, KindState: mfwire.Kind_KIND_STATE, KindCancel: mfwire.Kind_KIND_CANCEL,
 	kindCount: mfwire.Kind_KIND_COUNT,
 }
 
-var kindsRead = map[mfwire.Kind]Kind{
+var kindFromWire = map[mfwire.Kind]Kind{
 	mfwire.Kind_KIND_ACCEPT: KindAccept, mfwire.Kind_KIND_STATE: KindState, mfwire.Kind_KIND_CANCEL: KindCancel,
 	mfwire.Kind_KIND_COUNT: kindCount,
 }
 
-var outcomes = map[mfintake.Outcome]mfwire.Outcome{
+var outcomeToWire = map[mfintake.Outcome]mfwire.Outcome{
 	mfintake.OutcomeDone: mfwire.Outcome_OUTCOME_DONE, mfintake.OutcomeNotRun: mfwire.Outcome_OUTCOME_NOT_RUN,
 	mfintake.OutcomeNoJob: mfwire.Outcome_OUTCOME_NO_JOB, mfintake.OutcomeIDTaken: mfwire.Outcome_OUTCOME_TAKEN,
-	OutcomeLimit: mfwire.Outcome_OUTCOME_LIMIT, OutcomeNoKey: mfwire.Outcome_OUTCOME_NO_KEY, outcomeAway: mfwire.Outcome_OUTCOME_AWAY,
+	OutcomeLimit: mfwire.Outcome_OUTCOME_LIMIT, OutcomeNoKey: mfwire.Outcome_OUTCOME_NO_KEY, outcomeUnserved: mfwire.Outcome_OUTCOME_AWAY,
 }
 
 // encodeCall returns the message of a call.
 func encodeCall(c Call, within time.Duration) (*mfwire.Call, error) {
 	m := &mfwire.Call{
-		Kind: kinds[c.Kind], Job: string(c.Job), Account: string(c.Account), Unclear: c.Unclear, WithinMs: within.Milliseconds(),
+		Kind: kindToWire[c.Kind], Job: string(c.Job), Account: string(c.Account), Unclear: c.Unresolved, WithinMs: within.Milliseconds(),
 		Config: uint64(c.Config), Queue: string(c.Queue),
 	}
 	if c.Key != nil {
@@ -47,7 +47,7 @@
 func decodeCall(m *mfwire.Call) (Call, error) {
 	c := Call{
 		Caller: Caller{Account: mothferry.AccountID(m.GetAccount()), Config: mothferry.Version(m.GetConfig())},
-		Kind:   kindsRead[m.GetKind()], Job: mothferry.JobID(m.GetJob()), Unclear: m.GetUnclear(),
+		Kind:   kindFromWire[m.GetKind()], Job: mothferry.JobID(m.GetJob()), Unresolved: m.GetUnclear(),
 		Queue: mothferry.QueueID(m.GetQueue()),
 	}
 	if len(m.GetKey()) > 0 {
@@ -63,13 +63,13 @@
 }
 
 func encodeReply(a Answer, serving bool) *mfwire.Reply {
-	return &mfwire.Reply{Outcome: outcomes[a.Outcome], State: string(a.State), Count: int64(a.Count), AgainMs: a.Again.Milliseconds(), Serving: serving}
+	return &mfwire.Reply{Outcome: outcomeToWire[a.Outcome], State: string(a.State), Count: int64(a.Count), AgainMs: a.RetryAfter.Milliseconds(), Serving: serving}
 }
 
 // decodeReply reads an answer. An outcome that this program does not know is unknown.
 func decodeReply(m *mfwire.Reply) Answer {
-	a := Answer{Outcome: mfintake.OutcomeUnknown, State: mfjob.State(m.GetState()), Count: int(m.GetCount()), Again: time.Duration(m.GetAgainMs()) * time.Millisecond}
-	for outcome, wire := range outcomes {
+	a := Answer{Outcome: mfintake.OutcomeUnknown, State: mfjob.State(m.GetState()), Count: int(m.GetCount()), RetryAfter: time.Duration(m.GetAgainMs()) * time.Millisecond}
+	for outcome, wire := range outcomeToWire {
 		if wire == m.GetOutcome() {
 			a.Outcome = outcome
 		}
--- a/mfforward/release.go
+++ b/mfforward/release.go
@@ -13,8 +13,8 @@
 	"mothferry/mfrecord"
 )
 
-// releaseWithin bounds the giving up of a shard by a peer; its owner goes on meanwhile.
-const releaseWithin = 500 * time.Millisecond
+// releaseTimeout bounds the giving up of a shard by a peer; its owner goes on meanwhile.
+const releaseTimeout = 500 * time.Millisecond
 
 // Release has a peer store that the shard has no owner any more, for the owner whose
 // head has a version. It reports whether that is surely stored: where it is not it may
@@ -25,15 +25,15 @@
 		c.Log.WithError(err).Error("shard can't be given up by a peer")
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, releaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	l, done, ok := c.next(nil)
+	l, done, ok := c.nextLink(nil)
 	if !ok {
 		return false
 	}
 	defer done()
 	<-l.ready
-	if l.failed != nil {
+	if l.dialErr != nil {
 		return false
 	}
 	answer := Answer{Outcome: mfintake.OutcomeUnknown}
@@ -55,7 +55,7 @@
 		return mfintake.OutcomeNotRun
 	}
 	if !s.serving() {
-		return outcomeAway
+		return outcomeUnserved
 	}
 	_, err = s.Store.Commit(ctx, mothferry.Txn{
 		Checks: []mothferry.Check{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyHead, Version: mothferry.Version(message.GetVersion())}},
--- a/mfforward/router.go
+++ b/mfforward/router.go
@@ -12,12 +12,12 @@
 
 // Figures of a router.
 const (
-	// reviewEvery is how often it is looked whether the store is silent, while a call
+	// healthCheckInterval is how often it is looked whether the store is silent, while a call
 	// has no answer.
-	reviewEvery = 50 * time.Millisecond
-	// confirmWithin bounds the read that tells a call that failed by itself from a store
+	healthCheckInterval = 50 * time.Millisecond
+	// confirmTimeout bounds the read that tells a call that failed by itself from a store
 	// that turns this host away.
-	confirmWithin = 250 * time.Millisecond
+	confirmTimeout = 250 * time.Millisecond
 )
 
 // Router serves callers by the own store, or by a peer while the store turns this
@@ -36,7 +36,7 @@
 	a := r.serve(ctx, Call{Caller: by, Kind: KindAccept, Job: id, Submission: s}, func() Answer {
 		return Answer{Outcome: r.Intake.Accept(ctx, id, s)}
 	})
-	return a.Outcome, a.Again
+	return a.Outcome, a.RetryAfter
 }
 
 // State looks a job up for a caller of an account.
@@ -59,10 +59,10 @@
 // last told this host, or a peer while the store turns this one away.
 func (r *Router) Pending(ctx context.Context, queue mothferry.QueueID, by Caller) (int, bool) {
 	count, ok := r.Intake.Pending(queue)
-	if ok || r.Client == nil || !r.Health.Away(r.Clock.Now()) {
+	if ok || r.Client == nil || !r.Health.Unavailable(r.Clock.Now()) {
 		return count, ok
 	}
-	a := r.Client.Pass(ctx, Call{Caller: by, Kind: kindCount, Queue: queue})
+	a := r.Client.Forward(ctx, Call{Caller: by, Kind: kindCount, Queue: queue})
 	return a.Count, a.Outcome == mfintake.OutcomeDone
 }
 
@@ -78,7 +78,7 @@
 		return own()
 	}
 	now := r.Clock.Now()
-	if !r.Health.Away(now) || call.Kind == KindState && r.Health.Trial(now) {
+	if !r.Health.Unavailable(now) || call.Kind == KindState && r.Health.AllowTrial(now) {
 		late = make(chan Answer, 1)
 		go func() { late <- own() }()
 		var ended bool
@@ -87,15 +87,15 @@
 		}
 		if !ended {
 			first = Answer{Outcome: mfintake.OutcomeUnknown}
-		} else if !r.confirm(ctx) {
+		} else if !r.confirmUnavailable(ctx) {
 			return first
 		}
 		if call.Kind == KindAccept && first.Outcome == mfintake.OutcomeUnknown {
 			r.Intake.MarkUnresolved(call.Job)
 		}
 	}
-	call.Unclear = r.Intake.Unresolved(call.Job)
-	peer := r.Client.Pass(ctx, call)
+	call.Unresolved = r.Intake.Unresolved(call.Job)
+	peer := r.Client.Forward(ctx, call)
 	if call.Kind == KindAccept && peer.Outcome == mfintake.OutcomeUnknown {
 		r.Intake.MarkUnresolved(call.Job)
 	}
@@ -103,7 +103,7 @@
 	case first = <-late:
 	default:
 	}
-	return settle(call.Kind, first, peer, r.Intake.Unresolved(call.Job))
+	return combineAnswers(call.Kind, first, peer, r.Intake.Unresolved(call.Job))
 }
 
 func failed(a Answer) bool {
@@ -117,21 +117,21 @@
 		select {
 		case a := <-own:
 			return a, true
-		case <-r.Clock.After(reviewEvery):
-			if r.Health.Away(r.Clock.Now()) {
+		case <-r.Clock.After(healthCheckInterval):
+			if r.Health.Unavailable(r.Clock.Now()) {
 				return Answer{}, false
 			}
 		}
 	}
 }
 
-// confirm reports whether the store turns this host away, of which one call failed.
-func (r *Router) confirm(ctx context.Context) bool {
-	if r.Health.Away(r.Clock.Now()) {
+// confirmUnavailable reports whether the store turns this host away, of which one call failed.
+func (r *Router) confirmUnavailable(ctx context.Context) bool {
+	if r.Health.Unavailable(r.Clock.Now()) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, confirmWithin)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	_, _ = r.Store.Range(ctx, mothferry.RowRange{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, From: mfrecord.KeyHead, Limit: 1})
-	return r.Health.Away(r.Clock.Now())
+	return r.Health.Unavailable(r.Clock.Now())
 }
--- a/mfforward/server.go
+++ b/mfforward/server.go
@@ -20,13 +20,13 @@
 
 // Bounds of what a peer carries out for others.
 const (
-	// mostCarried bounds the calls at a time, of all hosts.
-	mostCarried = 128
-	// sessionSilent is after how long without a stream a session is closed: its host
+	// maxServedCalls bounds the calls at a time, of all hosts.
+	maxServedCalls = 128
+	// sessionIdleTimeout is after how long without a stream a session is closed: its host
 	// sends a beat each beatEvery.
-	sessionSilent = 10 * time.Second
-	// moveWithin bounds the reading of a call, and the writing of its answer.
-	moveWithin = time.Second
+	sessionIdleTimeout = 10 * time.Second
+	// ioTimeout bounds the reading of a call, and the writing of its answer.
+	ioTimeout = time.Second
 )
 
 // Server carries out calls that other hosts pass on, by this host's store. The
@@ -40,11 +40,11 @@
 	Health *Health
 	Clock  mothferry.Clock
 	Log    *log.Entry
-	// Carried counts calls by their kind and outcome; it may be nil.
-	Carried func(kind Kind, outcome mfintake.Outcome)
+	// OnServed counts calls by their kind and outcome; it may be nil.
+	OnServed func(kind Kind, outcome mfintake.Outcome)
 
-	open    atomic.Int64
-	leaving atomic.Bool
+	openCalls atomic.Int64
+	leaving   atomic.Bool
 }
 
 // Leave tells other hosts that this one is about to stop: what it has is still answered.
@@ -80,7 +80,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = session.Close() })
 	defer stop()
 	defer cancel()
-	silent := time.AfterFunc(sessionSilent, cancel)
+	silent := time.AfterFunc(sessionIdleTimeout, cancel)
 	defer silent.Stop()
 	for {
 		stream, err := session.AcceptStream()
@@ -88,7 +88,7 @@
 			_ = session.Close()
 			return
 		}
-		silent.Reset(sessionSilent)
+		silent.Reset(sessionIdleTimeout)
 		go s.answer(ctx, stream)
 	}
 }
@@ -96,7 +96,7 @@
 // answer serves one call.
 func (s *Server) answer(ctx context.Context, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
-	_ = stream.SetReadDeadline(time.Now().Add(moveWithin))
+	_ = stream.SetReadDeadline(time.Now().Add(ioTimeout))
 	var message mfwire.Call
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxFrame}).UnmarshalFrom(bufio.NewReader(stream), &message); err != nil {
 		s.Log.WithError(err).Info("call of another host can't be read")
@@ -106,17 +106,17 @@
 	switch message.GetKind() {
 	case mfwire.Kind_KIND_BEAT:
 	case mfwire.Kind_KIND_RELEASE:
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseWithin)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
 		a.Outcome = s.release(ctx, &message)
 	default:
-		within := min(writeWithin, time.Duration(message.GetWithinMs())*time.Millisecond)
+		within := min(writeTimeout, time.Duration(message.GetWithinMs())*time.Millisecond)
 		// A call goes on when its host is lost: what it stores is stored.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), within)
 		defer cancel()
-		a = s.carry(ctx, &message)
+		a = s.handle(ctx, &message)
 	}
-	_ = stream.SetWriteDeadline(time.Now().Add(moveWithin))
+	_ = stream.SetWriteDeadline(time.Now().Add(ioTimeout))
 	if _, err := protodelim.MarshalTo(stream, encodeReply(a, s.serving())); err != nil {
 		s.Log.WithError(err).WithField("job", message.GetJob()).Info("answer can't be returned to another host")
 	}
@@ -124,7 +124,7 @@
 
 func (s *Server) serving() bool { return !s.leaving.Load() && s.Health.Serving(s.Clock.Now()) }
 
-func (s *Server) carry(ctx context.Context, message *mfwire.Call) Answer {
+func (s *Server) handle(ctx context.Context, message *mfwire.Call) Answer {
 	call, err := decodeCall(message)
 	var a Answer
 	switch {
@@ -132,23 +132,23 @@
 		s.Log.WithError(err).WithField("job", message.GetJob()).Error("call of another host is malformed")
 		a.Outcome = mfintake.OutcomeNotRun
 	case !s.serving():
-		a.Outcome = outcomeAway
-	case s.open.Add(1) > mostCarried:
-		s.open.Add(-1)
+		a.Outcome = outcomeUnserved
+	case s.openCalls.Add(1) > maxServedCalls:
+		s.openCalls.Add(-1)
 		a.Outcome = OutcomeLimit
 	default:
-		a = s.carryOut(ctx, call)
-		s.open.Add(-1)
+		a = s.execute(ctx, call)
+		s.openCalls.Add(-1)
 	}
-	if s.Carried != nil && call.Kind != kindCount {
-		s.Carried(call.Kind, counted(a.Outcome))
+	if s.OnServed != nil && call.Kind != kindCount {
+		s.OnServed(call.Kind, reportedOutcome(a.Outcome))
 	}
 	return a
 }
 
-// carryOut makes a call at this host's store. A job is judged by this host's word of
+// execute makes a call at this host's store. A job is judged by this host's word of
 // the shard's owner: the one that got it hears no newer one.
-func (s *Server) carryOut(ctx context.Context, call Call) Answer {
+func (s *Server) execute(ctx context.Context, call Call) Answer {
 	c := s.Config()
 	newer := c != nil && c.Version >= call.Config
 	if newer && call.Key != nil {
@@ -168,19 +168,19 @@
 	case KindCancel:
 		return Answer{Outcome: s.Intake.Cancel(ctx, call.Job, call.Account)}
 	}
-	queue, ok := queueOf(c, call.Submission.Queue)
+	queue, ok := findQueue(c, call.Submission.Queue)
 	if newer && !ok {
 		return Answer{Outcome: mfintake.OutcomeNotRun}
 	}
-	if ok && !call.Unclear {
+	if ok && !call.Unresolved {
 		if again, refused := s.Intake.Refuse(ctx, call.Job, queue, call.Submission); refused {
-			return Answer{Outcome: mfintake.OutcomeNotRun, Again: max(again, time.Millisecond)}
+			return Answer{Outcome: mfintake.OutcomeNotRun, RetryAfter: max(again, time.Millisecond)}
 		}
 	}
 	return Answer{Outcome: s.Intake.Accept(ctx, call.Job, call.Submission)}
 }
 
-func queueOf(c *mfqueue.Config, id mothferry.QueueID) (mfqueue.Queue, bool) {
+func findQueue(c *mfqueue.Config, id mothferry.QueueID) (mfqueue.Queue, bool) {
 	if c != nil {
 		for _, q := range c.Queues {
 			if q.ID == id {
--- a/mfforward/server_test.go
+++ b/mfforward/server_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func job(queue mothferry.QueueID, account mothferry.AccountID) mfjob.Submission {
+func newSubmission(queue mothferry.QueueID, account mothferry.AccountID) mfjob.Submission {
 	return mfjob.Submission{
 		Queue: queue, Service: "s", Account: account, Spec: "x",
 		Steps: []mfjob.Step{{Count: 1, Need: mothferry.Resources{Cores: 500}, Estimate: time.Second}},
@@ -80,7 +80,7 @@
 }
 
 // Failure guarded against: a key or a queue that was taken away goes on at a host that the store turns away, which hears of no new config.
-func TestPeerLooksUpKeyAndQueueByNewerConfig(t *testing.T) {
+func TestPeerChecksKeyAndQueueByNewerConfig(t *testing.T) {
 	accounts := mfaccount.NewDirectory()
 	accounts.Add(mfaccount.Account{ID: "one"}, "kept")
 	config := &mfqueue.Config{Version: 7, Queues: []mfqueue.Queue{{ID: "q", Service: "s"}}, Accounts: accounts}
@@ -102,7 +102,7 @@
 		{"gone", &kept, 8, mfintake.OutcomeDone},
 	} {
 		id := mothferry.JobID(fmt.Sprintf("%016x", i))
-		a := c.Pass(context.Background(), Call{Caller: Caller{Account: "one", Key: k.key, Config: k.config}, Kind: KindAccept, Job: id, Submission: job(k.queue, "one")})
+		a := c.Forward(context.Background(), Call{Caller: Caller{Account: "one", Key: k.key, Config: k.config}, Kind: KindAccept, Job: id, Submission: newSubmission(k.queue, "one")})
 		assert.Equal(t, a.Outcome, k.want, "call %d", i)
 		page, err := rows.Range(context.Background(), mothferry.RowRange{Table: mfrecord.TableInbox, Part: mfrecord.InboxPart(id), From: mfrecord.JobKey(id), To: mfrecord.JobKey(id) + "\x00"})
 		assert.NilError(t, err)
@@ -111,7 +111,7 @@
 }
 
 // Failure guarded against: a peer that stands still holds callers for as long as they wait, and a look-up is not made elsewhere.
-func TestPeerThatStandsStillIsGivenUp(t *testing.T) {
+func TestUnresponsivePeerTimesOut(t *testing.T) {
 	still, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer still.Close()
@@ -119,18 +119,18 @@
 	s := startPeer(t, rows, nil)
 	for _, kind := range []Kind{KindAccept, KindState, KindCancel} {
 		c := startClient(t, still.Addr().String())
-		c.known().Heard("peer-0", true, time.Now())
+		c.ensurePeers().RecordStatus("peer-0", true, time.Now())
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		a := c.Pass(ctx, Call{Kind: kind, Job: "0000000000000001", Submission: job("q", "")})
+		a := c.Forward(ctx, Call{Kind: kind, Job: "0000000000000001", Submission: newSubmission("q", "")})
 		assert.Equal(t, a.Outcome, mfintake.OutcomeUnknown)
-		assert.Assert(t, time.Since(began) < beatEvery+beatWithin+300*time.Millisecond, "%s took %v", kind, time.Since(began))
+		assert.Assert(t, time.Since(began) < heartbeatInterval+heartbeatTimeout+300*time.Millisecond, "%s took %v", kind, time.Since(began))
 		cancel()
 	}
 	c := startClient(t, still.Addr().String(), s.Address)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	a := c.Pass(ctx, Call{Kind: KindState, Job: "0000000000000001"})
+	a := c.Forward(ctx, Call{Kind: KindState, Job: "0000000000000001"})
 	assert.Equal(t, a.Outcome, mfintake.OutcomeNoJob)
 }
 
@@ -138,28 +138,28 @@
 func TestCallsBeyondTheLimitAreRefused(t *testing.T) {
 	s := startPeer(t, &mfstandin.Rows{}, nil)
 	c := startClient(t, s.Address)
-	large := job("q", "")
-	large.Spec = string(make([]byte, mostJob))
-	a := c.Pass(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: large})
+	large := newSubmission("q", "")
+	large.Spec = string(make([]byte, maxSubmissionBytes))
+	a := c.Forward(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: large})
 	assert.Equal(t, a.Outcome, OutcomeLimit)
-	for range mostCalls {
-		assert.Assert(t, c.begin(0))
+	for range maxCalls {
+		assert.Assert(t, c.beginCall(0))
 	}
-	a = c.Pass(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: job("q", "")})
+	a = c.Forward(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: newSubmission("q", "")})
 	assert.Equal(t, a.Outcome, OutcomeLimit)
-	for range mostCalls {
-		c.end(0)
+	for range maxCalls {
+		c.endCall(0)
 	}
-	s.open.Store(mostCarried)
-	a = c.Pass(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: job("q", "")})
+	s.openCalls.Store(maxServedCalls)
+	a = c.Forward(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: newSubmission("q", "")})
 	assert.Equal(t, a.Outcome, OutcomeLimit)
-	s.open.Store(0)
-	a = c.Pass(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: job("q", "")})
+	s.openCalls.Store(0)
+	a = c.Forward(context.Background(), Call{Kind: KindAccept, Job: "0000000000000001", Submission: newSubmission("q", "")})
 	assert.Equal(t, a.Outcome, mfintake.OutcomeDone)
 }
 
 // Failure guarded against: giving the shard up comes late, and takes it from its next owner, or gives it to somebody.
-func TestReleaseThatIsLateTakesNothing(t *testing.T) {
+func TestLateReleaseChangesNothing(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	s := startPeer(t, rows, nil)
 	c := startClient(t, s.Address)
