--- a/mfhost/change.go
+++ b/mfhost/change.go
@@ -22,9 +22,9 @@
 	return fmt.Sprintf("host %s is already moving to pool %s, as %s asked", e.Host, e.To, e.Author)
 }
 
-// changeTries bounds the tries of one change, which races with the holder's
+// maxAttempts bounds the tries of one change, which races with the holder's
 // release of the host and with other operators.
-const changeTries = 8
+const maxAttempts = 8
 
 // Changer changes hosts as operators ask. Each change is one transaction that
 // checks the host's row, and is idempotent: asked again after a lost reply it
@@ -92,7 +92,7 @@
 
 func (c *Changer) change(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, edit func(*Record) error) (Record, error) {
 	var last error
-	for range changeTries {
+	for range maxAttempts {
 		r, err := c.attempt(ctx, dc, host, edit)
 		var conflict *mothferry.ErrConflict
 		var unavailable *mothferry.ErrUnavailable
