--- a/mfemulate/host.go
+++ b/mfemulate/host.go
@@ -168,7 +168,7 @@
 		}
 		took, aim := c.completed.Sub(c.submission.Accepted), w.objective(c)
 		switch {
-		case c.state != mfjob.StateCompleted || took > mfjob.LateFactor*aim:
+		case c.state != mfjob.StateCompleted || took > mfjob.TooLateFactor*aim:
 			a.TooLateOrFailed++
 		case took <= aim:
 			a.OnTime++
--- a/mfemulate/sum.go
+++ b/mfemulate/sum.go
@@ -62,7 +62,7 @@
 	case took <= aim:
 		f.OnTime++
 		return true
-	case took <= mfjob.LateFactor*aim:
+	case took <= mfjob.TooLateFactor*aim:
 		f.Late++
 	default:
 		f.TooLate++
--- a/mfemulate/uneven.go
+++ b/mfemulate/uneven.go
@@ -55,14 +55,14 @@
 // or of their estimates.
 func (c *jobRecord) criticalPath() time.Duration {
 	if c.taskDurations == nil {
-		return c.submission.Chain()
+		return c.submission.CriticalPath()
 	}
 	s := c.submission
 	s.Steps = slices.Clone(s.Steps)
 	for name, takes := range c.taskDurations {
 		s.Steps[name.Step].Estimate = max(s.Steps[name.Step].Estimate, takes)
 	}
-	return s.Chain()
+	return s.CriticalPath()
 }
 
 // workDone returns how much of its time a run has got done. One that hangs gets nothing done.
--- a/mfemulate/worker.go
+++ b/mfemulate/worker.go
@@ -245,9 +245,9 @@
 func (o *worker) fits(step *mfjob.Step) bool {
 	used := mothferry.Resources{}
 	for _, r := range o.running {
-		used = used.Add(r.step.Room())
+		used = used.Add(r.step.Reservation())
 	}
-	return step.Room().Fits(o.listing.Capacity.Sub(used))
+	return step.Reservation().Fits(o.listing.Capacity.Sub(used))
 }
 
 // stop carries an order to stop out. A run that is not there is refused later.
--- a/mfintake/admission.go
+++ b/mfintake/admission.go
@@ -52,7 +52,7 @@
 // machines that are being moved, and refusing a job while workers are free is the worst
 // result.
 func Evaluate(wait, criticalPath, objective time.Duration) Evaluation {
-	if wait+criticalPath <= mfjob.LateFactor*objective {
+	if wait+criticalPath <= mfjob.TooLateFactor*objective {
 		return Evaluation{}
 	}
 	return Evaluation{TooLate: true, RetryAfter: wait + criticalPath - objective}
@@ -77,7 +77,7 @@
 		return false
 	}
 	for number := range job.Steps {
-		need := job.Steps[number].Room()
+		need := job.Steps[number].Reservation()
 		if need.Fits(head.MaxCapacity) {
 			continue
 		}
@@ -129,7 +129,7 @@
 
 // refusalFor decides on a job by the work queued before it.
 func (i *Intake) refusalFor(head *mfrecord.Head, queue mfqueue.Queue, job mfjob.Submission, now time.Time) refusal {
-	criticalPath := job.Chain()
+	criticalPath := job.CriticalPath()
 	objective := mfjob.Objective(queue.Stretch, queue.Latency, criticalPath)
 	if head.Shares != nil && !i.Off[mothferry.FeatureShares] {
 		return i.refusalByShare(head, queue, job, now)
@@ -145,7 +145,7 @@
 // refuses nothing if the head has not been renewed for maxHeadAge, as the head does not
 // include the work submitted since.
 func (i *Intake) refusalByShare(head *mfrecord.Head, queue mfqueue.Queue, job mfjob.Submission, now time.Time) refusal {
-	criticalPath, age := job.Chain(), now.Sub(head.FirstReadAt)
+	criticalPath, age := job.CriticalPath(), now.Sub(head.FirstReadAt)
 	r := refusal{objective: mfjob.Objective(queue.Stretch, queue.Latency, criticalPath), criticalPath: criticalPath}
 	if age > maxHeadAge {
 		return r
--- a/mfjob/job.go
+++ b/mfjob/job.go
@@ -60,9 +60,9 @@
 	MayMiss int `json:"may_miss,omitempty"`
 }
 
-// Room is what each task of the step takes of a worker's capacity. Tasks that fill
+// Reservation is what each task of the step takes of a worker's capacity. Tasks that fill
 // use only processor time that others leave.
-func (t *Step) Room() mothferry.Resources {
+func (t *Step) Reservation() mothferry.Resources {
 	need := t.Need
 	if t.Fills {
 		need.Cores = 0
@@ -95,9 +95,9 @@
 // Limits on what may be handed in. A job's progress has to fit into one row
 // of 64 KiB at some 40 bytes a task, which MaxTasks leaves room for.
 const (
-	MaxSpec  = 4000
-	MaxSteps = 64
-	MaxTasks = 1000
+	MaxSpecBytes = 4000
+	MaxSteps     = 64
+	MaxTasks     = 1000
 	// MaxEstimate keeps sums over a job's steps far from what a duration holds.
 	MaxEstimate = 365 * 24 * time.Hour
 )
@@ -114,8 +114,8 @@
 // Check returns an ErrInvalid for the first thing wrong with a submission.
 func (s Submission) Check() error {
 	switch {
-	case len(s.Spec) > MaxSpec:
-		return &ErrInvalid{"spec", fmt.Sprintf("is longer than %d bytes", MaxSpec)}
+	case len(s.Spec) > MaxSpecBytes:
+		return &ErrInvalid{"spec", fmt.Sprintf("is longer than %d bytes", MaxSpecBytes)}
 	case len(s.Steps) == 0:
 		return &ErrInvalid{"steps", "are missing"}
 	case len(s.Steps) > MaxSteps:
@@ -176,12 +176,14 @@
 	return sum
 }
 
-// Chain returns the longest chain of estimates through the steps, which is
+// CriticalPath returns the longest chain of estimates through the steps, which is
 // how long the job takes if nothing waits.
-func (s Submission) Chain() time.Duration { return s.ChainFrom(func(int) bool { return false }) }
+func (s Submission) CriticalPath() time.Duration {
+	return s.RemainingCriticalPath(func(int) bool { return false })
+}
 
-// ChainAfter returns the longest chain of estimates through the steps that follow a step.
-func (s Submission) ChainAfter(step int) time.Duration {
+// CriticalPathAfter returns the longest chain of estimates through the steps that follow a step.
+func (s Submission) CriticalPathAfter(step int) time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	follows := make([]bool, len(s.Steps))
 	var longest time.Duration
@@ -200,9 +202,9 @@
 	return longest
 }
 
-// ChainFrom returns the longest chain of estimates through the steps that are
+// RemainingCriticalPath returns the longest chain of estimates through the steps that are
 // not done.
-func (s Submission) ChainFrom(done func(step int) bool) time.Duration {
+func (s Submission) RemainingCriticalPath(done func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	var longest time.Duration
 	for i, t := range s.Steps {
--- a/mfjob/job_test.go
+++ b/mfjob/job_test.go
@@ -12,7 +12,7 @@
 	"mothferry/mfjob"
 )
 
-func TestProgressIsStoredWhole(t *testing.T) {
+func TestProgressRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := mfjob.Progress{State: mfjob.StateRunning}
 		step := mfjob.StepProgress{}
@@ -34,8 +34,8 @@
 	})
 }
 
-// running is the progress of a job of two steps whose tasks all run.
-func running() mfjob.Progress {
+// runningProgress is the progress of a job of two steps whose tasks all run.
+func runningProgress() mfjob.Progress {
 	p := mfjob.Progress{State: mfjob.StateRunning}
 	for range 2 {
 		step := mfjob.StepProgress{}
@@ -48,7 +48,7 @@
 }
 
 // Rows of this form are in stores: their text must not change under the same version.
-func TestStoredProgressKeepsItsForm(t *testing.T) {
+func TestStoredProgressFormatIsStable(t *testing.T) {
 	p := mfjob.Progress{State: mfjob.StateRunning, Occurrences: [][]mfjob.StepProgress{{
 		{Done: true},
 		{},
@@ -75,7 +75,7 @@
 // BenchmarkEncodeProgress: 13.5 µs and 94 allocations when each task was a value of
 // its own to encoding/json.
 func BenchmarkEncodeProgress(b *testing.B) {
-	p := running()
+	p := runningProgress()
 	b.ReportAllocs()
 	for b.Loop() {
 		mfjob.EncodeProgress(p)
@@ -89,7 +89,7 @@
 	assert.ErrorType(t, err, &mfjob.ErrNewerFormat{})
 }
 
-func TestCheckRefuses(t *testing.T) {
+func TestCheckRefusesInvalidSubmissions(t *testing.T) {
 	sound := func() mfjob.Submission {
 		return mfjob.Submission{Steps: []mfjob.Step{{Count: 1}, {Count: 2, After: []int{0}}}}
 	}
@@ -100,7 +100,7 @@
 		"points ahead":  func(s *mfjob.Submission) { s.Steps[0].After = []int{1} },
 		"points itself": func(s *mfjob.Submission) { s.Steps[1].After = []int{1} },
 		"too many":      func(s *mfjob.Submission) { s.Repeat = 1000 },
-		"long spec":     func(s *mfjob.Submission) { s.Spec = string(make([]byte, mfjob.MaxSpec+1)) },
+		"long spec":     func(s *mfjob.Submission) { s.Spec = string(make([]byte, mfjob.MaxSpecBytes+1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := sound()
@@ -131,14 +131,14 @@
 }
 
 // The chain after a step counts only the steps that wait for it, at any distance.
-func TestChainAfter(t *testing.T) {
+func TestCriticalPathAfter(t *testing.T) {
 	s := mfjob.Submission{Steps: []mfjob.Step{
 		{Estimate: time.Second},
 		{Estimate: 2 * time.Second, After: []int{0}},
 		{Estimate: 5 * time.Second},
 		{Estimate: 3 * time.Second, After: []int{1}},
 	}}
-	assert.Equal(t, s.ChainAfter(0), 5*time.Second)
-	assert.Equal(t, s.ChainAfter(1), 3*time.Second)
-	assert.Equal(t, s.ChainAfter(2), time.Duration(0))
+	assert.Equal(t, s.CriticalPathAfter(0), 5*time.Second)
+	assert.Equal(t, s.CriticalPathAfter(1), 3*time.Second)
+	assert.Equal(t, s.CriticalPathAfter(2), time.Duration(0))
 }
--- a/mfjob/objective.go
+++ b/mfjob/objective.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// LateFactor times its objective is when a job is of no use any more; between both it
+// TooLateFactor times its objective is when a job is of no use any more; between both it
 // is of a little use.
-const LateFactor = 3
+const TooLateFactor = 3
 
 // Objective returns how long a job may take to be in time: stretch times its longest
 // chain of work, and latency more.
--- a/mfjob/progress.go
+++ b/mfjob/progress.go
@@ -13,17 +13,17 @@
 // Versions of the stored forms. Rows of a newer version are refused, so that an
 // older program never drops what it does not know.
 const (
-	// submissionVersion is that of a job of a client account. Without one it is written in
+	// submissionAccountVersion is that of a job of a client account. Without one it is written in
 	// the first version, which older programs read.
-	submissionVersion      = 2
-	submissionPlainVersion = 1
+	submissionAccountVersion = 2
+	submissionPlainVersion   = 1
 	// progressCopyVersion is that of progress in which a task has a copy, or still runs under a lower
 	// number than its copy had; progressVersion that of a job of a client account, progressCrashVersion
 	// that of progress with crashes. With none it is written in the first version, which older programs read.
-	progressCopyVersion  = 4
-	progressVersion      = 3
-	progressCrashVersion = 2
-	progressPlainVersion = 1
+	progressCopyVersion    = 4
+	progressAccountVersion = 3
+	progressCrashVersion   = 2
+	progressPlainVersion   = 1
 )
 
 // ErrNewerFormat reports a stored record that a newer program wrote.
@@ -47,7 +47,7 @@
 func EncodeSubmission(s Submission) ([]byte, error) {
 	stored := storedSubmission{Format: submissionPlainVersion, Submission: s}
 	if s.Account != "" {
-		stored.Format = submissionVersion
+		stored.Format = submissionAccountVersion
 	}
 	data, err := json.Marshal(stored)
 	return data, trace.Wrap(err)
@@ -59,8 +59,8 @@
 	if err := json.Unmarshal(data, &s); err != nil {
 		return Submission{}, trace.Wrap(err)
 	}
-	if s.Format > submissionVersion {
-		return Submission{}, &ErrNewerFormat{Version: s.Format, Known: submissionVersion}
+	if s.Format > submissionAccountVersion {
+		return Submission{}, &ErrNewerFormat{Version: s.Format, Known: submissionAccountVersion}
 	}
 	return s.Submission, nil
 }
@@ -109,9 +109,9 @@
 	Account mothferry.AccountID
 	// Occurrences holds the steps of each occurrence; empty for a job that is over.
 	Occurrences [][]StepProgress
-	// After is the number of the newest segment of the shard's log when this was written; zero
+	// AfterSegment is the number of the newest segment of the shard's log when this was written; zero
 	// for what is in the log itself. Older programs read by it which of the two is newer.
-	After uint64
+	AfterSegment uint64
 }
 
 type storedProgress struct {
@@ -142,29 +142,29 @@
 		b = append(b, `,"steps":`...)
 		b = appendList(b, p.Occurrences, func(b []byte, o []StepProgress) []byte { return appendList(b, o, appendStep) })
 	}
-	if p.After > 0 {
+	if p.AfterSegment > 0 {
 		b = append(b, `,"after":`...)
-		b = strconv.AppendUint(b, p.After, 10)
+		b = strconv.AppendUint(b, p.AfterSegment, 10)
 	}
 	return append(b, '}')
 }
 
 // version is the first one that holds all that there is.
 func (p Progress) version() int {
-	if p.has(TaskProgress.hasCopy) {
+	if p.anyTask(TaskProgress.hasCopy) {
 		return progressCopyVersion
 	}
 	if p.Account != "" {
-		return progressVersion
+		return progressAccountVersion
 	}
-	if p.has(TaskProgress.hasCrashes) {
+	if p.anyTask(TaskProgress.hasCrashes) {
 		return progressCrashVersion
 	}
 	return progressPlainVersion
 }
 
-// has reports whether what is stored of some task has a property.
-func (p Progress) has(property func(TaskProgress) bool) bool {
+// anyTask reports whether what is stored of some task has a property.
+func (p Progress) anyTask(property func(TaskProgress) bool) bool {
 	if p.State.Final() {
 		return false
 	}
@@ -273,7 +273,7 @@
 	if stored.Format > progressCopyVersion {
 		return Progress{}, &ErrNewerFormat{Version: stored.Format, Known: progressCopyVersion}
 	}
-	p := Progress{State: stored.State, Account: stored.Account, After: stored.After}
+	p := Progress{State: stored.State, Account: stored.Account, AfterSegment: stored.After}
 	for _, o := range stored.Steps {
 		var steps []StepProgress
 		for _, s := range o {
--- a/mfjournal/journal.go
+++ b/mfjournal/journal.go
@@ -205,7 +205,7 @@
 
 // ownRow returns a job's own row; after is the newest segment at the time of the write.
 func ownRow(id mothferry.JobID, p mfjob.Progress, after uint64) mothferry.Write {
-	p.After = after
+	p.AfterSegment = after
 	return mothferry.Write{Table: mfrecord.TableProgress, Part: mfrecord.PartShard, Key: mothferry.Key(id), Value: mfjob.EncodeProgress(p)}
 }
 
@@ -251,7 +251,7 @@
 		newest[id], written[id] = p, r.Version
 		// Older versions of the program order entries by After: the numbers of new segments
 		// must be above it.
-		j.lastSegment = max(j.lastSegment, p.After)
+		j.lastSegment = max(j.lastSegment, p.AfterSegment)
 		if !p.State.Final() {
 			j.jobs[id] = &entry{progress: p}
 		}
--- a/mfjournal/journal_test.go
+++ b/mfjournal/journal_test.go
@@ -51,7 +51,7 @@
 	newest, j, err := mfjournal.Read(s.rows(mfrecord.TableProgress), s.rows(mfrecord.TableLog))
 	assert.NilError(t, err)
 	for id, p := range newest {
-		p.After = 0
+		p.AfterSegment = 0
 		newest[id] = p
 	}
 	return newest, j
@@ -220,7 +220,7 @@
 			for _, row := range stored.rows(mfrecord.TableProgress) {
 				before, err := mfjob.DecodeProgress(row.Value)
 				assert.NilError(t, err)
-				highest = max(highest, before.After)
+				highest = max(highest, before.AfterSegment)
 			}
 			rows := j.Write(map[mothferry.JobID]mfjob.Progress{id: p})
 			for _, w := range rows {
@@ -271,7 +271,7 @@
 		stored.apply(t, []mothferry.Write{{Table: table, Part: mfrecord.PartShard, Key: key, Value: []byte(value)}})
 	}
 	before := progress(1, 2)
-	before.After = far
+	before.AfterSegment = far
 	put(mfrecord.TableProgress, "lasts", string(mfjob.EncodeProgress(before)))
 	for number := range 2 {
 		value := fmt.Sprintf(`{"format":1,"jobs":{"lasts":%s}}`, mfjob.EncodeProgress(progress(number+2, 2)))
--- a/mfjournal/numbering_test.go
+++ b/mfjournal/numbering_test.go
@@ -17,7 +17,7 @@
 func TestRenumberedLogFillsNoCommits(t *testing.T) {
 	const highest, commits = 100_000, 20
 	lasts := progress(1, 2)
-	lasts.After = highest
+	lasts.AfterSegment = highest
 	stored := newStore()
 	stored.apply(t, []mothferry.Write{{Table: mfrecord.TableProgress, Key: "lasts", Value: mfjob.EncodeProgress(lasts)}})
 	j := &mfjournal.Journal{}
--- a/mfowner/takeover_test.go
+++ b/mfowner/takeover_test.go
@@ -161,7 +161,7 @@
 	at := slices.IndexFunc(progress, func(r mothferry.Row) bool { return r.Key == "lasts" })
 	lasts, err := mfjob.DecodeProgress(progress[at].Value)
 	assert.NilError(t, err)
-	assert.Assert(t, lasts.After > 0, "the job's own row refers to the log")
+	assert.Assert(t, lasts.AfterSegment > 0, "the job's own row refers to the log")
 	assert.Equal(t, len(shardRows(t, rows, mfrecord.TableLog)), 0)
 	withOwner("h-2", func() {
 		time.Sleep(200 * time.Millisecond)
--- a/mfsched/allocation.go
+++ b/mfsched/allocation.go
@@ -59,7 +59,7 @@
 		}
 		for _, t := range w.tasks {
 			if t.step.spec.Lasting {
-				in.Lasting[w.Service] = in.Lasting[w.Service].Add(mfdemand.AmountOf(t.step.spec.Room()))
+				in.Lasting[w.Service] = in.Lasting[w.Service].Add(mfdemand.AmountOf(t.step.spec.Reservation()))
 				lasting[t.job.submission.Account] = lasting[t.job.submission.Account].Add(mfdemand.AmountOf(t.step.spec.Need))
 			}
 		}
--- a/mfsched/demand.go
+++ b/mfsched/demand.go
@@ -90,7 +90,7 @@
 
 // addStepDemand adds a step's demand, given the fraction of its waiting work that may start.
 func addStepDemand(d *mfdemand.Demand, o *occurrence, p *step, class deadlineClass, startable float64) {
-	capacity := mfdemand.AmountOf(p.spec.Room())
+	capacity := mfdemand.AmountOf(p.spec.Reservation())
 	switch {
 	case p.spec.Lasting:
 		d.Lasting = d.Lasting.Add(capacity.Times(float64(p.remaining)))
--- a/mfsched/evacuate.go
+++ b/mfsched/evacuate.go
@@ -92,7 +92,7 @@
 		if !feasible(t, w, used) {
 			break
 		}
-		used = used.Add(t.step.spec.Room())
+		used = used.Add(t.step.spec.Reservation())
 	}
 	return count
 }
--- a/mfsched/job.go
+++ b/mfsched/job.go
@@ -18,7 +18,7 @@
 		s.jobFinished(JobFinished{Job: e.Job, State: e.Progress.State, Submission: e.Submission}, now)
 		return
 	}
-	j := &job{id: e.Job, submission: e.Submission, state: mfjob.StateQueued, criticalPath: e.Submission.Chain(), account: s.accountOf(e.Submission.Account)}
+	j := &job{id: e.Job, submission: e.Submission, state: mfjob.StateQueued, criticalPath: e.Submission.CriticalPath(), account: s.accountOf(e.Submission.Account)}
 	j.flow = s.flowOf(s.queueOf(j).Service, e.Submission.Account)
 	s.jobs[e.Job] = j
 	s.live[e.Job] = j
@@ -144,7 +144,7 @@
 	}
 	t.worker, t.phase, t.reservedOn, t.checkpointAhead = w, p, nil, false
 	w.tasks[t.name] = t
-	w.used = w.used.Add(t.step.spec.Room())
+	w.used = w.used.Add(t.step.spec.Reservation())
 	t.job.account.addUsage(t.step.spec.Need)
 	t.job.flow.used = t.job.flow.used.Add(t.step.spec.Need)
 }
@@ -156,7 +156,7 @@
 		return
 	}
 	delete(t.worker.tasks, t.name)
-	t.worker.used = t.worker.used.Sub(t.step.spec.Room())
+	t.worker.used = t.worker.used.Sub(t.step.spec.Reservation())
 	t.job.account.removeUsage(t.step.spec.Need)
 	t.job.flow.used = t.job.flow.used.Sub(t.step.spec.Need)
 	if t.copyOf != nil {
@@ -234,7 +234,7 @@
 	switch duration := j.finishedAt.Sub(start); {
 	case duration <= objective:
 		return EndInTime
-	case duration <= mfjob.LateFactor*objective:
+	case duration <= mfjob.TooLateFactor*objective:
 		return EndLate
 	default:
 		return EndTooLate
--- a/mfsched/order.go
+++ b/mfsched/order.go
@@ -49,10 +49,10 @@
 	if !o.scheduledAt.IsZero() {
 		start = o.scheduledAt
 	}
-	remaining := j.submission.ChainFrom(func(step int) bool { return o.steps[step].remaining == 0 })
+	remaining := j.submission.RemainingCriticalPath(func(step int) bool { return o.steps[step].remaining == 0 })
 	objective := mfjob.Objective(q.Stretch, q.Latency, j.criticalPath)
 	slack := start.Add(objective).Sub(now) - remaining
-	lateSlack := start.Add(mfjob.LateFactor*objective).Sub(now) - remaining
+	lateSlack := start.Add(mfjob.TooLateFactor*objective).Sub(now) - remaining
 	switch {
 	case j.overRate && slack >= 0:
 		return classOverRate, slack
--- a/mfsched/place.go
+++ b/mfsched/place.go
@@ -218,7 +218,7 @@
 // feasible reports whether a worker has a task's label and enough capacity for it in addition
 // to what is used.
 func feasible(t *task, w *worker, used mothferry.Resources) bool {
-	return hasLabel(w, t.step.spec.Label) && t.step.spec.Room().Fits(w.Capacity.Sub(used))
+	return hasLabel(w, t.step.spec.Label) && t.step.spec.Reservation().Fits(w.Capacity.Sub(used))
 }
 
 // hasLabel reports whether a worker has a label; every worker has the empty one.
--- a/mfsched/report.go
+++ b/mfsched/report.go
@@ -136,7 +136,7 @@
 	stop := orphanStop{sentAt: now}
 	if j, known := s.jobs[r.task.Job]; known && r.task.Step < len(j.submission.Steps) {
 		spec := &j.submission.Steps[r.task.Step]
-		stop.reserved, stop.need, stop.account = spec.Room(), spec.Need, j.account
+		stop.reserved, stop.need, stop.account = spec.Reservation(), spec.Need, j.account
 	}
 	w.orphans[r] = stop
 	s.emit(Stop{At: w.at, Task: r.task, Run: r.run})
--- a/mfsched/speed.go
+++ b/mfsched/speed.go
@@ -190,7 +190,7 @@
 		}
 		for _, t := range w.tasks {
 			if t.measuresSpeed() && t.phase == phaseRunning {
-				r.freedPerSecond += int64(t.step.spec.Room().Cores) * int64(time.Second) / int64(t.step.spec.Estimate)
+				r.freedPerSecond += int64(t.step.spec.Reservation().Cores) * int64(time.Second) / int64(t.step.spec.Estimate)
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 	if r == nil || !w.slowStatus.Degraded() || !t.measuresSpeed() || r.freedPerSecond <= 0 {
 		return false
 	}
-	cores := int64(t.step.spec.Room().Cores)
+	cores := int64(t.step.spec.Reservation().Cores)
 	wait := time.Duration(float64(r.waiting+cores) / float64(r.freedPerSecond) * float64(time.Second))
 	p := t.step
 	if p.heldSince.IsZero() {
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -116,22 +116,22 @@
 func (r *relocationCapacity) reserve(t *task, w *worker) {
 	spec := t.step.spec
 	i, known := r.index[w]
-	if !known || !spec.Room().Fits(r.free[i]) {
+	if !known || !spec.Reservation().Fits(r.free[i]) {
 		i = -1
 		if !r.cannotFit(spec) {
-			i = slices.IndexFunc(r.workers, func(o *worker) bool { return hasLabel(o, spec.Label) && spec.Room().Fits(r.free[r.index[o]]) })
+			i = slices.IndexFunc(r.workers, func(o *worker) bool { return hasLabel(o, spec.Label) && spec.Reservation().Fits(r.free[r.index[o]]) })
 		}
 	}
 	if i < 0 {
-		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Room())
+		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Reservation())
 		return
 	}
-	r.free[i] = r.free[i].Sub(spec.Room())
+	r.free[i] = r.free[i].Sub(spec.Reservation())
 }
 
 // cannotFit reports whether a task of a step is known to fit on no worker.
 func (r *relocationCapacity) cannotFit(spec *mfjob.Step) bool {
-	larger := func(size mothferry.Resources) bool { return size.Fits(spec.Room()) }
+	larger := func(size mothferry.Resources) bool { return size.Fits(spec.Reservation()) }
 	return slices.ContainsFunc(r.unplaceable[""], larger) || spec.Label != "" && slices.ContainsFunc(r.unplaceable[spec.Label], larger)
 }
 
@@ -218,7 +218,7 @@
 		"speed": round(w.slowStatus.Speed.Relative), "uncertainty": round(w.slowStatus.Speed.Uncertainty),
 		"here_ms": st.Remaining.Milliseconds(), "there_ms": st.Elsewhere.Milliseconds(), "left_ms": st.UntilLate.Milliseconds(),
 	}})
-	r.free[r.index[target]] = r.free[r.index[target]].Sub(t.step.spec.Room())
+	r.free[r.index[target]] = r.free[r.index[target]].Sub(t.step.spec.Reservation())
 	if m == mitigationCopy {
 		s.planCopy(t, target)
 		return true
@@ -242,7 +242,7 @@
 	var best *worker
 	bestScore, fits := 0.0, false
 	for i, o := range r.workers {
-		if !spec.Room().Fits(r.free[i]) || !hasLabel(o, spec.Label) {
+		if !spec.Reservation().Fits(r.free[i]) || !hasLabel(o, spec.Label) {
 			continue
 		}
 		fits = true
@@ -254,7 +254,7 @@
 		}
 	}
 	if !fits {
-		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Room())
+		r.unplaceable[spec.Label] = append(r.unplaceable[spec.Label], spec.Reservation())
 	}
 	return best
 }
@@ -273,9 +273,9 @@
 		corrected = s.correctedSubmission(j)
 		r.corrected[j] = corrected
 	}
-	after := corrected.ChainAfter(t.name.Step)
-	objective := mfjob.Objective(q.Stretch, q.Latency, corrected.Chain())
-	return from.Add(objective).Sub(now) - after, from.Add(mfjob.LateFactor*objective).Sub(now) - after
+	after := corrected.CriticalPathAfter(t.name.Step)
+	objective := mfjob.Objective(q.Stretch, q.Latency, corrected.CriticalPath())
+	return from.Add(objective).Sub(now) - after, from.Add(mfjob.TooLateFactor*objective).Sub(now) - after
 }
 
 // correctedSubmission returns a job's submission with the estimates replaced by the expected
