--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -197,8 +197,8 @@
 		Store: d.store, Peers: d.mesh, EntryHosts: s.EntryHosts(), Heartbeat: s.Timing.Heartbeat,
 	}
 	d.ledger = &mfledger.Ledger{
-		Table: d.platform.Table, Clock: d.Clock, Keep: s.Limits.LedgerKeep,
-		RecordBytes: s.Limits.RecordBytes, NewToken: NewToken, Log: d.Logs.Part("ledger"),
+		Table: d.platform.Table, Clock: d.Clock, Retention: s.Limits.LedgerKeep,
+		MaxRecordBytes: s.Limits.RecordBytes, NewToken: NewToken, Log: d.Logs.Part("ledger"),
 	}
 	d.ledger.Prepare()
 	d.usage = &mfusage.Watch{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Logs.Part("usage")}
--- a/mfentry/handler.go
+++ b/mfentry/handler.go
@@ -183,7 +183,7 @@
 
 // claimError turns a failed claim into the end of its request.
 func (h *Handler) claimError(err error) error {
-	var taken *mfledger.ErrTaken
+	var taken *mfledger.ErrKeyClaimed
 	if !errors.As(err, &taken) {
 		return &mothferry.ErrNotRun{Reason: mothferry.ReasonLedgerDown, RetryAfter: h.retryDelay(), Err: err}
 	}
@@ -195,7 +195,7 @@
 
 // isMismatch reports a key that was used for a request with other content.
 func isMismatch(err error) bool {
-	var taken *mfledger.ErrTaken
+	var taken *mfledger.ErrKeyClaimed
 	return errors.As(err, &taken) && taken.Reason == mothferry.ReasonKeyMismatch
 }
 
--- a/mfentry/harness_test.go
+++ b/mfentry/harness_test.go
@@ -101,7 +101,7 @@
 		Confirmed: time.Now, Notice: time.Second,
 	}
 	ledger := &mfledger.Ledger{
-		Table: mffake.NewTable(mfclock.System{}), Clock: mfclock.System{}, Keep: time.Hour, RecordBytes: 1 << 10,
+		Table: mffake.NewTable(mfclock.System{}), Clock: mfclock.System{}, Retention: time.Hour, MaxRecordBytes: 1 << 10,
 		NewToken: func() mothferry.Token { return mothferry.Token(rand.Text()) }, Log: mflog.Discard(),
 	}
 	ledger.Prepare()
--- a/mfledger/ledger.go
+++ b/mfledger/ledger.go
@@ -17,19 +17,19 @@
 const (
 	// maxBatch bounds the operations of one transaction.
 	maxBatch = 64
-	// backlog bounds the operations that wait for a transaction.
-	backlog = 1024
-	// writers is how many transactions may be under way at the same time.
-	writers = 4
-	// endTries bounds how often the recording of an end is tried.
-	endTries = 20
-	// endPause is the first pause between those tries.
-	endPause    = 100 * time.Millisecond
-	maxEndPause = 5 * time.Second
+	// maxPending bounds the operations that wait for a transaction.
+	maxPending = 1024
+	// writerCount is how many transactions may be under way at the same time.
+	writerCount = 4
+	// maxEndAttempts bounds how often the recording of an end is tried.
+	maxEndAttempts = 20
+	// minEndRetryDelay is the first pause between those tries.
+	minEndRetryDelay = 100 * time.Millisecond
+	maxEndRetryDelay = 5 * time.Second
 )
 
-// ErrTaken reports that a key was claimed before, and what came of it.
-type ErrTaken struct {
+// ErrKeyClaimed reports that a key was claimed before, and what came of it.
+type ErrKeyClaimed struct {
 	// Reason is still_running, outcome_unknown, answer_too_large or key_mismatch.
 	Reason mothferry.Reason
 	// RetryAfter is when a running request will have ended.
@@ -37,7 +37,7 @@
 }
 
 // Error implements error.
-func (e *ErrTaken) Error() string { return fmt.Sprintf("key was claimed before: %s", e.Reason) }
+func (e *ErrKeyClaimed) Error() string { return fmt.Sprintf("key was claimed before: %s", e.Reason) }
 
 // Claim is the right to run a keyed request.
 type Claim struct {
@@ -52,10 +52,10 @@
 type Ledger struct {
 	Table mothferry.Table
 	Clock mothferry.Clock
-	// Keep is how long a row is kept.
-	Keep time.Duration
-	// RecordBytes bounds the body of a recorded answer.
-	RecordBytes mothferry.Bytes
+	// Retention is how long a row is kept.
+	Retention time.Duration
+	// MaxRecordBytes bounds the body of a recorded answer.
+	MaxRecordBytes mothferry.Bytes
 	// NewToken makes tokens that are never used twice.
 	NewToken func() mothferry.Token
 	Log      *log.Entry
@@ -79,19 +79,19 @@
 
 // Prepare readies the ledger for use before Run.
 func (l *Ledger) Prepare() {
-	l.operations = make(chan *operation, backlog)
+	l.operations = make(chan *operation, maxPending)
 }
 
 // Run writes operations to the table until ctx ends.
 func (l *Ledger) Run(ctx context.Context) error {
 	done := make(chan struct{})
-	for range writers {
+	for range writerCount {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			l.write(ctx)
+			l.runWriter(ctx)
 		}()
 	}
-	for range writers {
+	for range writerCount {
 		<-done
 	}
 	return ctx.Err()
@@ -109,15 +109,15 @@
 	}
 	operation := &operation{
 		check: mothferry.Check{Key: key.row()},
-		write: mothferry.Write{Key: key.row(), Value: data, Expires: l.Clock.Now().Add(l.Keep)},
+		write: mothferry.Write{Key: key.row(), Value: data, Expires: l.Clock.Now().Add(l.Retention)},
 	}
-	claim.version, err = l.do(ctx, operation)
+	claim.version, err = l.submit(ctx, operation)
 	var conflict *mothferry.ErrConflict
 	switch {
 	case err == nil:
 		return claim, nil, nil
 	case errors.As(err, &conflict):
-		return l.taken(claim, conflict.Rows[0])
+		return l.resolveConflict(claim, conflict.Rows[0])
 	}
 	if !neverSent(err) {
 		// The claim may have been written without its reply arriving. The
@@ -127,9 +127,9 @@
 	return nil, nil, err
 }
 
-// taken reads the row that stands in a claim's way. It may be the claim
+// resolveConflict reads the row that stands in a claim's way. It may be the claim
 // itself, written by a transaction whose reply was lost.
-func (l *Ledger) taken(claim *Claim, row mothferry.Row) (*Claim, *Answer, error) {
+func (l *Ledger) resolveConflict(claim *Claim, row mothferry.Row) (*Claim, *Answer, error) {
 	r, err := decodeRecord(row.Value)
 	if err != nil {
 		return nil, nil, err
@@ -140,15 +140,15 @@
 		claim.version = row.Version
 		return claim, nil, nil
 	case r.Digest != claim.digest:
-		return nil, nil, &ErrTaken{Reason: mothferry.ReasonKeyMismatch}
+		return nil, nil, &ErrKeyClaimed{Reason: mothferry.ReasonKeyMismatch}
 	case r.State == stateAnswered && r.Answer != nil:
 		return nil, r.Answer, nil
 	case r.State == stateTooLarge:
-		return nil, nil, &ErrTaken{Reason: mothferry.ReasonAnswerTooLarge}
+		return nil, nil, &ErrKeyClaimed{Reason: mothferry.ReasonAnswerTooLarge}
 	case r.State == stateRunning && now.Before(r.Until):
-		return nil, nil, &ErrTaken{Reason: mothferry.ReasonStillRunning, RetryAfter: r.Until.Sub(now)}
+		return nil, nil, &ErrKeyClaimed{Reason: mothferry.ReasonStillRunning, RetryAfter: r.Until.Sub(now)}
 	default:
-		return nil, nil, &ErrTaken{Reason: mothferry.ReasonOutcomeUnknown}
+		return nil, nil, &ErrKeyClaimed{Reason: mothferry.ReasonOutcomeUnknown}
 	}
 }
 
@@ -156,29 +156,29 @@
 // row is written in the background.
 func (l *Ledger) RecordAnswer(ctx context.Context, c *Claim, a Answer) {
 	r := record{State: stateAnswered, Digest: c.digest, Token: c.token, Until: c.until, Answer: &a}
-	if mothferry.Bytes(len(a.Body)) > l.RecordBytes {
+	if mothferry.Bytes(len(a.Body)) > l.MaxRecordBytes {
 		r.State, r.Answer = stateTooLarge, nil
 	}
-	l.record(ctx, c, r)
+	l.recordEnd(ctx, c, r)
 }
 
 // RecordAnswerTooLarge records that an answer was given that is too large to keep.
 func (l *Ledger) RecordAnswerTooLarge(ctx context.Context, c *Claim) {
-	l.record(ctx, c, record{State: stateTooLarge, Digest: c.digest, Token: c.token, Until: c.until})
+	l.recordEnd(ctx, c, record{State: stateTooLarge, Digest: c.digest, Token: c.token, Until: c.until})
 }
 
 // RecordUnknown records that nobody knows whether a claimed request ran.
 func (l *Ledger) RecordUnknown(ctx context.Context, c *Claim) {
-	l.record(ctx, c, record{State: stateUnknown, Digest: c.digest, Token: c.token, Until: c.until})
+	l.recordEnd(ctx, c, record{State: stateUnknown, Digest: c.digest, Token: c.token, Until: c.until})
 }
 
-func (l *Ledger) record(ctx context.Context, c *Claim, r record) {
+func (l *Ledger) recordEnd(ctx context.Context, c *Claim, r record) {
 	data, err := r.encode()
 	if err != nil {
 		l.Log.WithError(err).Error("End could not be encoded.")
 		return
 	}
-	write := mothferry.Write{Key: c.key.row(), Value: data, Expires: l.Clock.Now().Add(l.Keep)}
+	write := mothferry.Write{Key: c.key.row(), Value: data, Expires: l.Clock.Now().Add(l.Retention)}
 	go l.persist(context.WithoutCancel(ctx), c, write)
 }
 
@@ -201,9 +201,9 @@
 // The check of the claim's own version makes the write idempotent: one that
 // took effect unseen, or arrives late, cannot touch a later claim of the key.
 func (l *Ledger) persist(ctx context.Context, c *Claim, write mothferry.Write) {
-	pause := endPause
-	for range endTries {
-		_, err := l.do(ctx, &operation{check: mothferry.Check{Key: write.Key, Version: c.version}, write: write})
+	pause := minEndRetryDelay
+	for range maxEndAttempts {
+		_, err := l.submit(ctx, &operation{check: mothferry.Check{Key: write.Key, Version: c.version}, write: write})
 		var conflict *mothferry.ErrConflict
 		if err == nil || errors.As(err, &conflict) {
 			return
@@ -211,15 +211,15 @@
 		if !mfclock.Sleep(ctx, l.Clock, pause) {
 			return
 		}
-		pause = min(2*pause, maxEndPause)
+		pause = min(2*pause, maxEndRetryDelay)
 	}
 	l.Log.WithField("service", c.key.Service).Warn("End of a keyed request was not recorded.")
 }
 
 // withdraw removes a claim that may or may not have been written.
 func (l *Ledger) withdraw(ctx context.Context, c *Claim) {
-	pause := endPause
-	for range endTries {
+	pause := minEndRetryDelay
+	for range maxEndAttempts {
 		rows, err := l.Table.Read(ctx, mothferry.Query{Keys: []mothferry.Key{c.key.row()}})
 		if err == nil {
 			l.withdrawRows(ctx, c, rows)
@@ -228,7 +228,7 @@
 		if !mfclock.Sleep(ctx, l.Clock, pause) {
 			return
 		}
-		pause = min(2*pause, maxEndPause)
+		pause = min(2*pause, maxEndRetryDelay)
 	}
 	l.Log.WithField("service", c.key.Service).Warn("Claim whose reply was lost was not withdrawn.")
 }
@@ -257,8 +257,8 @@
 	return errors.As(err, &never)
 }
 
-// do hands an operation to the writers and waits for its outcome.
-func (l *Ledger) do(ctx context.Context, o *operation) (mothferry.Version, error) {
+// submit hands an operation to the writers and waits for its outcome.
+func (l *Ledger) submit(ctx context.Context, o *operation) (mothferry.Version, error) {
 	o.done = make(chan outcome, 1)
 	select {
 	case l.operations <- o:
@@ -273,23 +273,23 @@
 	}
 }
 
-// write takes operations and commits whatever waits in one transaction. While
+// runWriter takes operations and commits whatever waits in one transaction. While
 // one transaction is under way the next batch gathers, so that batches grow
 // with the load and a lone request does not wait for company.
-func (l *Ledger) write(ctx context.Context) {
+func (l *Ledger) runWriter(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-l.operations:
-			l.commit(ctx, l.gather(first))
+			l.commit(ctx, l.gatherBatch(first))
 		}
 	}
 }
 
-// gather adds the operations that already wait. Two on the same row cannot
+// gatherBatch adds the operations that already wait. Two on the same row cannot
 // share a transaction; the second one goes back to the queue.
-func (l *Ledger) gather(first *operation) []*operation {
+func (l *Ledger) gatherBatch(first *operation) []*operation {
 	batch := []*operation{first}
 	rows := map[mothferry.Key]bool{first.write.Key: true}
 	for len(batch) < maxBatch {
@@ -319,12 +319,12 @@
 		var conflict *mothferry.ErrConflict
 		switch {
 		case err == nil:
-			answer(batch, outcome{version: version})
+			complete(batch, outcome{version: version})
 			return
 		case errors.As(err, &conflict) && len(conflict.Rows) > 0:
-			batch = answerConflicts(batch, conflict.Rows)
+			batch = completeConflicts(batch, conflict.Rows)
 		case repeated:
-			answer(batch, outcome{err: trace.Wrap(err)})
+			complete(batch, outcome{err: trace.Wrap(err)})
 			return
 		default:
 			repeated = true
@@ -341,15 +341,15 @@
 	return txn
 }
 
-func answer(batch []*operation, k outcome) {
+func complete(batch []*operation, k outcome) {
 	for _, o := range batch {
 		o.done <- k
 	}
 }
 
-// answerConflicts answers the operations whose rows are in conflict and
+// completeConflicts answers the operations whose rows are in conflict and
 // returns the others.
-func answerConflicts(batch []*operation, rows []mothferry.Row) []*operation {
+func completeConflicts(batch []*operation, rows []mothferry.Row) []*operation {
 	stale := map[mothferry.Key]mothferry.Row{}
 	for _, r := range rows {
 		stale[r.Key] = r
@@ -365,7 +365,7 @@
 	}
 	if len(rest) == len(batch) {
 		// Conflicts that name none of the rows asked for would be tried forever.
-		answer(batch, outcome{err: trace.Wrap(&mothferry.ErrBadReply{Operation: "ledger write", Detail: "conflict of other rows"})})
+		complete(batch, outcome{err: trace.Wrap(&mothferry.ErrBadReply{Operation: "ledger write", Detail: "conflict of other rows"})})
 		return nil
 	}
 	return rest
--- a/mfledger/ledger_test.go
+++ b/mfledger/ledger_test.go
@@ -22,11 +22,11 @@
 	"mothferry/mflog"
 )
 
-// started returns a running ledger.
-func started(t testing.TB, table mothferry.Table, clock mothferry.Clock) *Ledger {
+// startLedger returns a running ledger.
+func startLedger(t testing.TB, table mothferry.Table, clock mothferry.Clock) *Ledger {
 	t.Helper()
 	l := &Ledger{
-		Table: table, Clock: clock, Keep: time.Hour, RecordBytes: 100,
+		Table: table, Clock: clock, Retention: time.Hour, MaxRecordBytes: 100,
 		NewToken: func() mothferry.Token { return mothferry.Token(rand.Text()) }, Log: mflog.Discard(),
 	}
 	l.Prepare()
@@ -39,24 +39,24 @@
 
 func key(name string) Key { return Key{Customer: "c", Service: "s", Key: name} }
 
-func soon() time.Time { return time.Now().Add(time.Hour) }
+func inOneHour() time.Time { return time.Now().Add(time.Hour) }
 
-// takenAs asserts that a claim is refused for a reason.
-func takenAs(t *testing.T, l *Ledger, k Key, digest Digest, reason mothferry.Reason) {
+// assertRefused asserts that a claim is refused for a reason.
+func assertRefused(t *testing.T, l *Ledger, k Key, digest Digest, reason mothferry.Reason) {
 	t.Helper()
-	_, _, err := l.Claim(t.Context(), k, digest, soon())
-	var taken *ErrTaken
+	_, _, err := l.Claim(t.Context(), k, digest, inOneHour())
+	var taken *ErrKeyClaimed
 	assert.Assert(t, errors.As(err, &taken), "%v", err)
 	assert.Equal(t, taken.Reason, reason)
 }
 
-// becomes waits until a claim is refused for a reason, as its record is
+// waitForRefusal waits until a claim is refused for a reason, as its record is
 // written in the background.
-func becomes(t *testing.T, l *Ledger, k Key, reason mothferry.Reason) {
+func waitForRefusal(t *testing.T, l *Ledger, k Key, reason mothferry.Reason) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, _, err := l.Claim(t.Context(), k, "d", soon())
-		var taken *ErrTaken
+		_, _, err := l.Claim(t.Context(), k, "d", inOneHour())
+		var taken *ErrKeyClaimed
 		if errors.As(err, &taken) && taken.Reason == reason {
 			return poll.Success()
 		}
@@ -66,124 +66,124 @@
 
 func TestClaimAndEnds(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
-	one, two := started(t, table, mfclock.System{}), started(t, table, mfclock.System{})
-	claim, recorded, err := one.Claim(t.Context(), key("k"), "d", soon())
+	one, two := startLedger(t, table, mfclock.System{}), startLedger(t, table, mfclock.System{})
+	claim, recorded, err := one.Claim(t.Context(), key("k"), "d", inOneHour())
 	assert.NilError(t, err)
 	assert.Assert(t, recorded == nil)
-	takenAs(t, two, key("k"), "d", mothferry.ReasonStillRunning)
-	takenAs(t, two, key("k"), "other", mothferry.ReasonKeyMismatch)
-	_, _, err = two.Claim(t.Context(), Key{Customer: "d", Service: "s", Key: "k"}, "other", soon())
+	assertRefused(t, two, key("k"), "d", mothferry.ReasonStillRunning)
+	assertRefused(t, two, key("k"), "other", mothferry.ReasonKeyMismatch)
+	_, _, err = two.Claim(t.Context(), Key{Customer: "d", Service: "s", Key: "k"}, "other", inOneHour())
 	assert.NilError(t, err, "another customer's key is another request")
 	one.RecordAnswer(t.Context(), claim, Answer{Status: 201, Body: []byte("made")})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, recorded, _ := two.Claim(t.Context(), key("k"), "d", soon()); recorded != nil && string(recorded.Body) == "made" && recorded.Status == 201 {
+		if _, recorded, _ := two.Claim(t.Context(), key("k"), "d", inOneHour()); recorded != nil && string(recorded.Body) == "made" && recorded.Status == 201 {
 			return poll.Success()
 		}
 		return poll.Continue("not recorded")
 	}, poll.WithTimeout(time.Minute))
 
-	claim, _, err = one.Claim(t.Context(), key("large"), "d", soon())
+	claim, _, err = one.Claim(t.Context(), key("large"), "d", inOneHour())
 	assert.NilError(t, err)
 	one.RecordAnswer(t.Context(), claim, Answer{Body: make([]byte, 101)})
-	becomes(t, two, key("large"), mothferry.ReasonAnswerTooLarge)
+	waitForRefusal(t, two, key("large"), mothferry.ReasonAnswerTooLarge)
 
-	claim, _, err = one.Claim(t.Context(), key("lost"), "d", soon())
+	claim, _, err = one.Claim(t.Context(), key("lost"), "d", inOneHour())
 	assert.NilError(t, err)
 	one.RecordUnknown(t.Context(), claim)
-	becomes(t, two, key("lost"), mothferry.ReasonOutcomeUnknown)
+	waitForRefusal(t, two, key("lost"), mothferry.ReasonOutcomeUnknown)
 
-	claim, _, err = one.Claim(t.Context(), key("again"), "d", soon())
+	claim, _, err = one.Claim(t.Context(), key("again"), "d", inOneHour())
 	assert.NilError(t, err)
 	one.ReleaseClaim(t.Context(), claim)
-	_, _, err = two.Claim(t.Context(), key("again"), "d", soon())
+	_, _, err = two.Claim(t.Context(), key("again"), "d", inOneHour())
 	assert.NilError(t, err, "a request that did not run may be sent again")
 
 	_, _, err = one.Claim(t.Context(), key("dead"), "d", time.Now().Add(-time.Second))
 	assert.NilError(t, err)
-	takenAs(t, two, key("dead"), "d", mothferry.ReasonOutcomeUnknown)
+	assertRefused(t, two, key("dead"), "d", mothferry.ReasonOutcomeUnknown)
 }
 
-// TestClaimLostReply: symptom, a keyed request is told "still running" by its
+// TestClaimSurvivesLostReply: symptom, a keyed request is told "still running" by its
 // own claim. Sequence: the table writes the claim, its reply is lost, the
 // ledger tries again and finds the row taken. Cause: without the token the
 // ledger cannot tell its own write from another's.
-func TestClaimLostReply(t *testing.T) {
+func TestClaimSurvivesLostReply(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
-	l := started(t, table, mfclock.System{})
+	l := startLedger(t, table, mfclock.System{})
 	table.LoseReplies(1)
-	claim, _, err := l.Claim(t.Context(), key("k"), "d", soon())
+	claim, _, err := l.Claim(t.Context(), key("k"), "d", inOneHour())
 	assert.NilError(t, err)
 	l.ReleaseClaim(t.Context(), claim)
-	_, _, err = l.Claim(t.Context(), key("k"), "d", soon())
+	_, _, err = l.Claim(t.Context(), key("k"), "d", inOneHour())
 	assert.NilError(t, err)
 }
 
-// TestClaimWithdrawn: symptom, a request that was refused because the ledger
+// TestUnconfirmedClaimIsWithdrawn: symptom, a request that was refused because the ledger
 // could not be reached stays "still running" until its key expires. Sequence:
 // the claim is written, both replies are lost, the request is refused as not
 // run, its caller comes back. Cause: the claim of a request that was never
 // sent has to be taken back.
-func TestClaimWithdrawn(t *testing.T) {
+func TestUnconfirmedClaimIsWithdrawn(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
-	l := started(t, table, mffake.InstantClock{})
+	l := startLedger(t, table, mffake.InstantClock{})
 	table.LoseReplies(1)
 	ctx, cancel := context.WithCancel(t.Context())
-	lost := &losing{Table: table, cancel: cancel}
+	lost := &cancellingTable{Table: table, cancel: cancel}
 	l.Table = lost
-	_, _, err := l.Claim(ctx, key("k"), "d", soon())
+	_, _, err := l.Claim(ctx, key("k"), "d", inOneHour())
 	assert.Assert(t, err != nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, _, err := l.Claim(t.Context(), key("k"), "d", soon()); err != nil {
+		if _, _, err := l.Claim(t.Context(), key("k"), "d", inOneHour()); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
 }
 
-// losing cancels the caller's context with the first commit, so that the
+// cancellingTable cancels the caller's context with the first commit, so that the
 // claim's outcome does not reach it.
-type losing struct {
+type cancellingTable struct {
 	mothferry.Table
 	cancel context.CancelFunc
 }
 
-func (l *losing) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+func (l *cancellingTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
 	l.cancel()
 	return l.Table.Commit(ctx, txn)
 }
 
-// TestLateDeleteMissesNewClaim: symptom, a keyed request runs twice. Sequence:
+// TestLateDeleteKeepsNewClaim: symptom, a keyed request runs twice. Sequence:
 // a claim is given back, the delete's reply is lost and it is sent again; in
 // between the caller's repeat claims the key and runs; the second delete
 // removes that claim; a third repeat claims and runs too. Cause: a delete that
 // does not name the version it means.
-func TestLateDeleteMissesNewClaim(t *testing.T) {
+func TestLateDeleteKeepsNewClaim(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
-	one, two := started(t, table, mfclock.System{}), started(t, table, mfclock.System{})
-	claim, _, err := one.Claim(t.Context(), key("k"), "d", soon())
+	one, two := startLedger(t, table, mfclock.System{}), startLedger(t, table, mfclock.System{})
+	claim, _, err := one.Claim(t.Context(), key("k"), "d", inOneHour())
 	assert.NilError(t, err)
 	one.ReleaseClaim(t.Context(), claim)
-	_, _, err = two.Claim(t.Context(), key("k"), "d", soon())
+	_, _, err = two.Claim(t.Context(), key("k"), "d", inOneHour())
 	assert.NilError(t, err)
 	one.ReleaseClaim(t.Context(), claim)
-	takenAs(t, one, key("k"), "d", mothferry.ReasonStillRunning)
+	assertRefused(t, one, key("k"), "d", mothferry.ReasonStillRunning)
 }
 
 // TestGroupCommit: many claims at once share transactions, and one conflict
 // among them harms no other.
 func TestGroupCommit(t *testing.T) {
-	table := &gated{Table: mffake.NewTable(mfclock.System{}), open: make(chan struct{})}
-	l := started(t, table, mfclock.System{})
-	table.pass.Store(true)
-	_, _, err := l.Claim(t.Context(), key("k-7"), "d", soon())
+	table := &gatedTable{Table: mffake.NewTable(mfclock.System{}), opened: make(chan struct{})}
+	l := startLedger(t, table, mfclock.System{})
+	table.ungated.Store(true)
+	_, _, err := l.Claim(t.Context(), key("k-7"), "d", inOneHour())
 	assert.NilError(t, err)
-	table.pass.Store(false)
+	table.ungated.Store(false)
 	before := table.Commits()
 	var group sync.WaitGroup
 	const claims = 500
 	for i := range claims {
 		group.Go(func() {
-			_, _, err := l.Claim(t.Context(), key(fmt.Sprint("k-", i)), "d", soon())
+			_, _, err := l.Claim(t.Context(), key(fmt.Sprint("k-", i)), "d", inOneHour())
 			assert.Check(t, (err == nil) == (i != 7), "%d: %v", i, err)
 		})
 	}
@@ -194,53 +194,53 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	close(table.open)
+	close(table.opened)
 	group.Wait()
 	commits := table.Commits() - before
 	t.Logf("%d claims took %d commits", claims, commits)
 	assert.Assert(t, commits < claims/5)
 }
 
-// gated is a table whose commits wait until it is opened, unless they may pass.
-type gated struct {
+// gatedTable is a table whose commits wait until it is opened, unless they may pass.
+type gatedTable struct {
 	*mffake.Table
-	pass atomic.Bool
-	open chan struct{}
+	ungated atomic.Bool
+	opened  chan struct{}
 	// held counts the writes that wait.
 	held atomic.Int64
 }
 
-func (g *gated) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
-	if !g.pass.Load() {
+func (g *gatedTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+	if !g.ungated.Load() {
 		g.held.Add(int64(len(txn.Writes)))
-		<-g.open
+		<-g.opened
 	}
 	return g.Table.Commit(ctx, txn)
 }
 
-// slow is a table whose commits take as long as a real one's.
-type slow struct{ *mffake.Table }
+// slowTable is a table whose commits take as long as a real one's.
+type slowTable struct{ *mffake.Table }
 
-func (s *slow) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+func (s *slowTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
 	time.Sleep(2 * time.Millisecond)
 	return s.Table.Commit(ctx, txn)
 }
 
-// step is one step of a key's history as porcupine checks it: claim number id
+// historyStep is one step of a key's history as porcupine checks it: claim number id
 // is made, given back by its holder, or withdrawn because its reply was lost.
-type step struct {
+type historyStep struct {
 	id   int
 	kind string
 }
 
-// oneHolder is the model of a key, whose state is the claim that holds it, 0
+// singleHolderModel is the model of a key, whose state is the claim that holds it, 0
 // for none. A claim that succeeded needs the key free; one refused as running
 // needs it held; one without a reply may or may not have taken it.
-var oneHolder = porcupine.NondeterministicModel{
+var singleHolderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
 		holder, _ := state.(int)
-		in, _ := input.(step)
+		in, _ := input.(historyStep)
 		switch {
 		case in.kind != "claim" && holder == in.id:
 			return []any{0}
@@ -259,16 +259,16 @@
 	},
 }
 
-// TestOneHolder lets several ledgers claim and give back one key while replies
+// TestKeyHasOneHolder lets several ledgers claim and give back one key while replies
 // and calls are lost, and checks the history: never two holders at a time.
-func TestOneHolder(t *testing.T) {
+func TestKeyHasOneHolder(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		table := mffake.NewTable(mfclock.System{})
 		var ledgers []*Ledger
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		for range 3 {
-			l := &Ledger{Table: table, Clock: mfclock.System{}, Keep: time.Hour, RecordBytes: 1, NewToken: func() mothferry.Token { return mothferry.Token(rand.Text()) }, Log: mflog.Discard()}
+			l := &Ledger{Table: table, Clock: mfclock.System{}, Retention: time.Hour, MaxRecordBytes: 1, NewToken: func() mothferry.Token { return mothferry.Token(rand.Text()) }, Log: mflog.Discard()}
 			l.Prepare()
 			go func() { _ = l.Run(ctx) }()
 			ledgers = append(ledgers, l)
@@ -277,7 +277,7 @@
 		table.LoseCalls(rapid.IntRange(0, 3).Draw(t, "calls"))
 		var mutex sync.Mutex
 		var history []porcupine.Operation
-		note := func(client int, in step, out string, began, ended time.Time) {
+		note := func(client int, in historyStep, out string, began, ended time.Time) {
 			mutex.Lock()
 			defer mutex.Unlock()
 			history = append(history, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: began.UnixNano(), Return: ended.UnixNano()})
@@ -288,26 +288,26 @@
 				for i := range 4 {
 					id, began := 1+c*4+i, time.Now()
 					l := ledgers[(c+i)%len(ledgers)]
-					claim, _, err := l.Claim(ctx, key("k"), "d", soon())
-					var taken *ErrTaken
+					claim, _, err := l.Claim(ctx, key("k"), "d", inOneHour())
+					var taken *ErrKeyClaimed
 					switch {
 					case err == nil:
-						note(c, step{id, "claim"}, "claimed", began, time.Now())
+						note(c, historyStep{id, "claim"}, "claimed", began, time.Now())
 						began = time.Now()
 						l.ReleaseClaim(ctx, claim)
-						note(c, step{id, "give back"}, "", began, time.Now())
+						note(c, historyStep{id, "give back"}, "", began, time.Now())
 					case errors.As(err, &taken):
-						note(c, step{id, "claim"}, "running", began, time.Now())
+						note(c, historyStep{id, "claim"}, "running", began, time.Now())
 					default:
 						// The write and its withdrawal may take effect at any later time.
-						note(c, step{id, "claim"}, "no reply", began, soon())
-						note(c, step{id, "withdraw"}, "", began, soon())
+						note(c, historyStep{id, "claim"}, "no reply", began, inOneHour())
+						note(c, historyStep{id, "withdraw"}, "", began, inOneHour())
 					}
 				}
 			})
 		}
 		group.Wait()
-		model := oneHolder.ToModel()
+		model := singleHolderModel.ToModel()
 		if !porcupine.CheckOperations(model, history) {
 			t.Fatalf("history has two holders: %v", history)
 		}
@@ -319,8 +319,8 @@
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{8, 16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			table := &slow{Table: mffake.NewTable(mfclock.System{})}
-			l := started(b, table, mfclock.System{})
+			table := &slowTable{Table: mffake.NewTable(mfclock.System{})}
+			l := startLedger(b, table, mfclock.System{})
 			b.SetParallelism(max(callers/runtime.GOMAXPROCS(0), 1))
 			var n sync.Map
 			var mutex sync.Mutex
@@ -331,7 +331,7 @@
 					count++
 					k := key(fmt.Sprint(count))
 					mutex.Unlock()
-					claim, _, err := l.Claim(context.Background(), k, "d", soon())
+					claim, _, err := l.Claim(context.Background(), k, "d", inOneHour())
 					if err != nil {
 						b.Error(err)
 						return
