--- a/mfcommand/fleet.go
+++ b/mfcommand/fleet.go
@@ -51,7 +51,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
-	out := mflog.NewBounded(e.Out)
+	out := mflog.NewBoundedWriter(e.Out)
 	defer out.Close()
 	logs := &mflog.Logs{Output: out, Format: mflog.FormatJSON, Level: log.InfoLevel}
 	daemon, err := platform.NewDaemon(file, e.Clock, e.Random, logs)
--- a/mfcontrol/control.go
+++ b/mfcontrol/control.go
@@ -79,13 +79,13 @@
 	// hostList is the platform's host list, and listedAt when it was read.
 	hostList       map[mothferry.HostID]mothferry.HostState
 	hostListReadAt time.Time
-	failures       mflog.Episode
+	failures       mflog.FailureLog
 }
 
 // Run plans and acts until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.shards = map[mothferry.PoolID]*shardState{}
-	c.failures = mflog.Episode{Log: c.Log}
+	c.failures = mflog.FailureLog{Log: c.Log}
 	for {
 		if holdings := c.Leases.Holdings(); len(holdings) > 0 {
 			c.round(ctx, holdings)
--- a/mffeed/follower.go
+++ b/mffeed/follower.go
@@ -51,7 +51,7 @@
 	// OnProgress is told up to when all changes have been applied; it may be nil.
 	OnProgress func(upTo time.Time)
 
-	episode mflog.Episode
+	episode mflog.FailureLog
 }
 
 // Run follows the table until ctx ends.
--- a/mffollow/follower.go
+++ b/mffollow/follower.go
@@ -133,7 +133,7 @@
 }
 
 func (f *Follower) poll(ctx context.Context) {
-	failures := mflog.Episode{Log: f.Log}
+	failures := mflog.FailureLog{Log: f.Log}
 	for round := 0; ; round++ {
 		if round%slowPollFactor == 0 || f.pollsAtFullRate() {
 			err := f.readTable(ctx)
--- a/mflease/keeper.go
+++ b/mflease/keeper.go
@@ -56,7 +56,7 @@
 // Run renews the lease and claims shards until ctx ends, then releases the lease.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.watches = map[mothferry.DaemonID]rowWatch{}
-	failures := mflog.Episode{Log: k.Log}
+	failures := mflog.FailureLog{Log: k.Log}
 	for {
 		err := k.round(ctx)
 		switch {
--- a/mflog/bounded.go
+++ b/mflog/bounded.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Bounded passes lines on to a slower writer without ever making the caller
+// BoundedWriter passes lines on to a slower writer without ever making the caller
 // wait. Lines that come while its room is full are dropped and counted; the
 // count is written as a line of its own as soon as there is room.
 //
 // What it guards against: an output that does not take lines (a full pipe, a
 // collector that stands still) would otherwise stop whoever logs, and with it
 // leases, commits and callers.
-type Bounded struct {
+type BoundedWriter struct {
 	Output io.Writer
 	lines  chan []byte
 	// Dropped counts lines that were not written.
@@ -28,22 +28,22 @@
 }
 
 const (
-	// boundedLines is the room for lines that wait: some two seconds of the
+	// maxQueuedLines is the room for lines that wait: some two seconds of the
 	// busiest owner, 1 MiB at the usual length.
-	boundedLines = 2048
-	// flushWithin bounds how long Close waits for the lines that are left.
-	flushWithin = 200 * time.Millisecond
+	maxQueuedLines = 2048
+	// closeTimeout bounds how long Close waits for the lines that are left.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// NewBounded returns a writer that passes lines on to output.
-func NewBounded(output io.Writer) *Bounded {
-	b := &Bounded{Output: output, lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
-	go b.pass()
+// NewBoundedWriter returns a writer that passes lines on to output.
+func NewBoundedWriter(output io.Writer) *BoundedWriter {
+	b := &BoundedWriter{Output: output, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
+	go b.run()
 	return b
 }
 
 // Write implements io.Writer for whole lines.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
 	case b.lines <- kept:
@@ -53,7 +53,7 @@
 	return len(line), nil
 }
 
-func (b *Bounded) pass() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	told := int64(0)
 	for {
@@ -71,7 +71,7 @@
 
 // write writes one line, and how many were dropped since that was told last. It
 // returns how many have been told of.
-func (b *Bounded) write(line []byte, told int64) int64 {
+func (b *BoundedWriter) write(line []byte, told int64) int64 {
 	// A line that can't be written is lost: there is nowhere to say so.
 	_, _ = b.Output.Write(line)
 	dropped := b.Dropped.Load()
@@ -83,10 +83,10 @@
 }
 
 // Close writes what is left, for a short while.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
 	select {
 	case <-b.done:
-	case <-time.After(flushWithin):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/mflog/bounded_test.go
+++ b/mflog/bounded_test.go
@@ -12,14 +12,14 @@
 	"mothferry/mflog"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedWriter is an output that takes nothing until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
 	text    strings.Builder
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -29,8 +29,8 @@
 // Symptom guarded against: leases lapse because whoever logs waits for a log
 // collector that stands still.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
-	b := mflog.NewBounded(out)
+	out := &blockedWriter{release: make(chan struct{})}
+	b := mflog.NewBoundedWriter(out)
 	done := make(chan struct{})
 	const lines = 5000
 	go func() {
@@ -61,8 +61,8 @@
 // Guarded against: a daemon that stops as planned ends with a panic.
 // Events: the last answers to orders arrive, and are logged, while the log is closed.
 // Cause: closing the queue of lines makes a later write panic.
-func TestWritingAfterCloseIsHarmless(t *testing.T) {
-	b := mflog.NewBounded(io.Discard)
+func TestWriteAfterCloseDoesNotPanic(t *testing.T) {
+	b := mflog.NewBoundedWriter(io.Discard)
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
--- a/mflog/episode.go
+++ b/mflog/episode.go
@@ -2,17 +2,17 @@
 
 import "github.com/apex/log"
 
-// Episode logs a failure that goes on as one: its first occurrence as a
+// FailureLog logs a failure that goes on as one: its first occurrence as a
 // warning, its end as information, and what is between for debugging only. A
 // part that tries again several times a second would otherwise fill the log
 // for as long as the platform is out.
-type Episode struct {
+type FailureLog struct {
 	Log     *log.Entry
 	failing bool
 }
 
 // Failed notes a failure.
-func (e *Episode) Failed(err error, message string) {
+func (e *FailureLog) Failed(err error, message string) {
 	entry := e.Log.WithError(err)
 	if e.failing {
 		entry.Debug(message)
@@ -23,7 +23,7 @@
 }
 
 // Succeeded notes that what failed works again.
-func (e *Episode) Succeeded(message string) {
+func (e *FailureLog) Succeeded(message string) {
 	if e.failing {
 		e.failing = false
 		e.Log.Info(message)
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -81,8 +81,8 @@
 	releasedAt      time.Time
 	lastHead        atomic.Pointer[mfrecord.Head]
 	owning          atomic.Bool
-	episode         mflog.Episode
-	machinesEpisode mflog.Episode
+	episode         mflog.FailureLog
+	machinesEpisode mflog.FailureLog
 }
 
 // LastHead returns the head row as last read, or as this host last sent it as owner; nil
