--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -248,7 +248,7 @@
 	d.operate = &mfoperate.Handler{
 		Daemon: s.Daemon, DataCentre: s.DataCentre, Store: d.store,
 		Accepter: &mfchange.Accepter{Table: d.platform.Table, Clock: d.Clock},
-		Follower: d.follower, Mesh: d.mesh, Leases: d.keeper, Hosts: &mfhost.Changer{Table: d.platform.Table}, Clock: d.Clock, PeerBound: d.peerTimeout(), Ready: d.ready,
+		Follower: d.follower, Mesh: d.mesh, Leases: d.keeper, Hosts: &mfhost.Changer{Table: d.platform.Table}, Clock: d.Clock, PeerTimeout: d.peerTimeout(), Ready: d.ready,
 		Metrics: promhttp.HandlerFor(d.metrics.Registry, promhttp.HandlerOpts{}), Log: d.Logs.Part("operate"),
 	}
 	d.operators = &http.Server{Handler: d.operate.Mux(), ReadHeaderTimeout: headerTimeout}
--- a/mfoperate/client.go
+++ b/mfoperate/client.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var reply accepted
+	var reply changeReply
 	if err := json.Unmarshal(data, &reply); err != nil {
 		return 0, trace.Wrap(&ErrRefused{Kind: kindInternal, Detail: err.Error()})
 	}
@@ -126,7 +126,7 @@
 
 // decodeFailure turns the body of a failed call back into a typed error.
 func decodeFailure(path string, data []byte) error {
-	var body failed
+	var body failureReply
 	if err := json.Unmarshal(data, &body); err != nil {
 		return &ErrRefused{Kind: kindInternal, Detail: string(data)}
 	}
--- a/mfoperate/handler.go
+++ b/mfoperate/handler.go
@@ -54,8 +54,8 @@
 	Leases     Leases
 	Hosts      *mfhost.Changer
 	Clock      mothferry.Clock
-	// PeerBound is how long ago a peer may have been heard to count as live.
-	PeerBound time.Duration
+	// PeerTimeout is how long ago a peer may have been heard to count as live.
+	PeerTimeout time.Duration
 	// Ready tells whether callers should be sent here.
 	Ready   func() bool
 	Metrics http.Handler
@@ -155,7 +155,7 @@
 	for _, k := range h.Leases.Holdings() {
 		s.Shards = append(s.Shards, ShardStatus{Pool: k.Fence.Shard.Pool, Epoch: k.Fence.Epoch})
 	}
-	show(w, http.StatusOK, s)
+	writeJSON(w, http.StatusOK, s)
 }
 
 func (h *Handler) peers() []PeerStatus {
@@ -165,7 +165,7 @@
 		p := PeerStatus{Daemon: s.Peer.Daemon, DataCentre: s.Peer.DataCentre, HeardAgoMs: -1, Revision: s.Status.Revision, Stopping: s.Status.Stopping}
 		if !s.Heard.IsZero() {
 			p.HeardAgoMs = now.Sub(s.Heard).Milliseconds()
-			p.Live = h.Mesh.IsLive(s, now, h.PeerBound)
+			p.Live = h.Mesh.IsLive(s, now, h.PeerTimeout)
 		}
 		peers = append(peers, p)
 	}
@@ -197,14 +197,14 @@
 }
 
 func (h *Handler) listDocuments(w http.ResponseWriter, _ *http.Request) {
-	show(w, http.StatusOK, h.services(h.Store.Current()))
+	writeJSON(w, http.StatusOK, h.services(h.Store.Current()))
 }
 
 func (h *Handler) getDocument(w http.ResponseWriter, r *http.Request) {
 	service := mothferry.ServiceID(r.PathValue("service"))
 	record, ok := h.Store.Current().Document(service)
 	if !ok {
-		refuse(w, &mothferry.ErrNotFound{Kind: "service document", Name: string(service)})
+		writeError(w, &mothferry.ErrNotFound{Kind: "service document", Name: string(service)})
 		return
 	}
 	w.Header().Set("Content-Type", "application/yaml")
@@ -212,8 +212,8 @@
 	_, _ = io.WriteString(w, record.Document.YAML())
 }
 
-// accepted is the reply to a change.
-type accepted struct {
+// changeReply is the reply to a change.
+type changeReply struct {
 	Service  mothferry.ServiceID `json:"service"`
 	Revision mothferry.Revision  `json:"revision"`
 }
@@ -221,12 +221,12 @@
 func (h *Handler) putDocument(w http.ResponseWriter, r *http.Request) {
 	change, err := readChange(r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	revision, err := h.Accepter.Accept(r.Context(), change)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	h.Log.WithField("service", change.Document.Service).WithField("revision", revision).WithField("author", change.Author).Info("Document accepted.")
@@ -234,7 +234,7 @@
 		// The change is accepted and durable; the daemons' polls will find it.
 		h.Log.WithError(err).Warn("Accepted document could not be read back.")
 	}
-	show(w, http.StatusOK, accepted{Service: change.Document.Service, Revision: revision})
+	writeJSON(w, http.StatusOK, changeReply{Service: change.Document.Service, Revision: revision})
 }
 
 func readChange(r *http.Request) (mfchange.Change, error) {
@@ -275,10 +275,10 @@
 		records = append(records, p)
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].Pool < records[j].Pool })
-	show(w, http.StatusOK, records)
+	writeJSON(w, http.StatusOK, records)
 }
 
-func show(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
@@ -297,8 +297,8 @@
 // platform did not reply to the daemon.
 const KindUnavailable = "platform_unavailable"
 
-// failed is the body of a failed call.
-type failed struct {
+// failureReply is the body of a failed call.
+type failureReply struct {
 	Kind     string             `json:"kind"`
 	Detail   string             `json:"detail"`
 	Problems []problem          `json:"problems,omitempty"`
@@ -317,19 +317,19 @@
 	Want  string `json:"want"`
 }
 
-// refuse replies with an error's status and typed form.
-func refuse(w http.ResponseWriter, err error) {
-	status, body := describe(err)
-	show(w, status, body)
+// writeError replies with an error's status and typed form.
+func writeError(w http.ResponseWriter, err error) {
+	status, body := encodeFailure(err)
+	writeJSON(w, status, body)
 }
 
-func describe(err error) (int, failed) {
+func encodeFailure(err error) (int, failureReply) {
 	var invalid *mfyaml.ErrInvalid
 	var conflict *mothferry.ErrDocumentConflict
 	var missing *mothferry.ErrNotFound
 	var unavailable *mothferry.ErrUnavailable
 	var moving *mfhost.ErrMoving
-	body := failed{Detail: trace.UserMessage(err)}
+	body := failureReply{Detail: trace.UserMessage(err)}
 	switch {
 	case errors.As(err, &invalid):
 		body.Kind = kindInvalid
--- a/mfoperate/hosts.go
+++ b/mfoperate/hosts.go
@@ -13,75 +13,75 @@
 
 // Query parameters of calls about hosts.
 const (
-	paramCentre = "data_centre"
-	paramPool   = "pool"
-	paramUndo   = "undo"
+	paramDataCentre = "data_centre"
+	paramPool       = "pool"
+	paramUndo       = "undo"
 )
 
-// centre returns the data centre that a call is about: this daemon's own
+// dataCentreOf returns the data centre that a call is about: this daemon's own
 // unless the call names another.
-func (h *Handler) centre(r *http.Request) mothferry.DataCentre {
-	if own := r.URL.Query().Get(paramCentre); own != "" {
+func (h *Handler) dataCentreOf(r *http.Request) mothferry.DataCentre {
+	if own := r.URL.Query().Get(paramDataCentre); own != "" {
 		return mothferry.DataCentre(own)
 	}
 	return h.DataCentre
 }
 
 func (h *Handler) listHosts(w http.ResponseWriter, r *http.Request) {
-	records, err := h.Hosts.List(r.Context(), h.centre(r))
+	records, err := h.Hosts.List(r.Context(), h.dataCentreOf(r))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	show(w, http.StatusOK, records)
+	writeJSON(w, http.StatusOK, records)
 }
 
 func (h *Handler) moveHost(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pool, author := query.Get(paramPool), query.Get(paramAuthor)
 	if pool == "" || author == "" {
-		refuse(w, trace.BadParameter("%s and %s must be given", paramPool, paramAuthor))
+		writeError(w, trace.BadParameter("%s and %s must be given", paramPool, paramAuthor))
 		return
 	}
-	record, err := h.Hosts.Move(r.Context(), h.centre(r), mothferry.HostID(r.PathValue("host")), mothferry.PoolID(pool), author)
-	h.showHost(w, record, err)
+	record, err := h.Hosts.Move(r.Context(), h.dataCentreOf(r), mothferry.HostID(r.PathValue("host")), mothferry.PoolID(pool), author)
+	h.replyHost(w, record, err)
 }
 
 func (h *Handler) drainHost(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	author := query.Get(paramAuthor)
 	if author == "" {
-		refuse(w, trace.BadParameter("%s must be given", paramAuthor))
+		writeError(w, trace.BadParameter("%s must be given", paramAuthor))
 		return
 	}
-	record, err := h.Hosts.Drain(r.Context(), h.centre(r), mothferry.HostID(r.PathValue("host")), query.Get(paramUndo) == "true", author)
-	h.showHost(w, record, err)
+	record, err := h.Hosts.Drain(r.Context(), h.dataCentreOf(r), mothferry.HostID(r.PathValue("host")), query.Get(paramUndo) == "true", author)
+	h.replyHost(w, record, err)
 }
 
-func (h *Handler) showHost(w http.ResponseWriter, record mfhost.Record, err error) {
+func (h *Handler) replyHost(w http.ResponseWriter, record mfhost.Record, err error) {
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	h.Log.WithField("host", record.Host).WithField("state", record.State).WithField("author", record.Author).Info("Host change is accepted.")
-	show(w, http.StatusOK, record)
+	writeJSON(w, http.StatusOK, record)
 }
 
 // Hosts returns the hosts of a data centre, the daemon's own if dc is empty.
 func (c *Client) Hosts(ctx context.Context, dc mothferry.DataCentre) ([]mfhost.Record, error) {
 	var records []mfhost.Record
-	err := c.callJSON(ctx, http.MethodGet, "/v1/hosts?"+url.Values{paramCentre: {string(dc)}}.Encode(), &records)
+	err := c.callJSON(ctx, http.MethodGet, "/v1/hosts?"+url.Values{paramDataCentre: {string(dc)}}.Encode(), &records)
 	return records, err
 }
 
 // Move asks for a host to be emptied and moved to another pool.
 func (c *Client) Move(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, pool mothferry.PoolID, author string) (mfhost.Record, error) {
-	return c.changeHost(ctx, host, "move", url.Values{paramCentre: {string(dc)}, paramPool: {string(pool)}, paramAuthor: {author}})
+	return c.changeHost(ctx, host, "move", url.Values{paramDataCentre: {string(dc)}, paramPool: {string(pool)}, paramAuthor: {author}})
 }
 
 // Drain asks for a host to be emptied, or with undo to take runners again.
 func (c *Client) Drain(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, undo bool, author string) (mfhost.Record, error) {
-	query := url.Values{paramCentre: {string(dc)}, paramAuthor: {author}}
+	query := url.Values{paramDataCentre: {string(dc)}, paramAuthor: {author}}
 	if undo {
 		query.Set(paramUndo, "true")
 	}
