--- a/mfcommand/shard.go
+++ b/mfcommand/shard.go
@@ -88,7 +88,7 @@
 		f.RequestedMs[machine] = ago.Milliseconds()
 	}
 	for _, w := range s.Waves {
-		f.Waves = append(f.Waves, shardWave{Wave: w.Wave, StartedAt: w.Begun, Done: w.Done})
+		f.Waves = append(f.Waves, shardWave{Wave: w.Wave, StartedAt: w.StartedAt, Done: w.Done})
 	}
 	if output == outputJSON {
 		return trace.Wrap(json.NewEncoder(e.Out).Encode(f))
--- a/mffleet/share.go
+++ b/mffleet/share.go
@@ -48,7 +48,7 @@
 	if s == nil {
 		return
 	}
-	for flow, e := range s.Standing {
+	for flow, e := range s.Allocation {
 		out <- prometheus.MustNewConstMetric(m.share, prometheus.GaugeValue, e.Rate, string(flow.Service), string(flow.Account))
 	}
 	for id, cores := range s.Used {
--- a/mffleet/share_test.go
+++ b/mffleet/share_test.go
@@ -25,8 +25,8 @@
 	m.countJobEnd(mfsched.JobEnd{Queue: "q", Account: "a", End: mfsched.EndLate})
 	assert.DeepEqual(t, metricNames(t, r), []string{"mothferry_account_jobs_total", "mothferry_handed_in_total"})
 	shares = &mfowner.Shares{
-		Standing: mfshare.Allocation{{Service: "s", Account: "a"}: {Rate: 4}},
-		Used:     map[mothferry.AccountID]float64{"a": 2},
+		Allocation: mfshare.Allocation{{Service: "s", Account: "a"}: {Rate: 4}},
+		Used:       map[mothferry.AccountID]float64{"a": 2},
 	}
 	assert.DeepEqual(t, metricNames(t, r), []string{
 		"mothferry_account_jobs_total", "mothferry_account_share_cores", "mothferry_account_used_cores", "mothferry_handed_in_total",
--- a/mfowner/commit.go
+++ b/mfowner/commit.go
@@ -48,7 +48,7 @@
 	if now.Sub(s.sharesComputedAt) >= sharesInterval {
 		s.sharesComputedAt = now
 		allocation := s.state.Allocations(now)
-		s.owner.accountShares.Store(&Shares{Standing: allocation, Used: s.state.UsedByAccount()})
+		s.owner.accountShares.Store(&Shares{Allocation: allocation, Used: s.state.UsedByAccount()})
 		s.publishedShares = nil
 		if allocation != nil {
 			s.publishedShares = allocation.Published(s.state.NoticeableWaits())
--- a/mfowner/committer_test.go
+++ b/mfowner/committer_test.go
@@ -74,7 +74,7 @@
 
 // Guards against a previous owner that was paused or partitioned and changes progress after
 // the takeover.
-func TestFormerOwnerCannotCommit(t *testing.T) {
+func TestPreviousOwnerCannotCommit(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	old := &committer{store: rows, clock: instantClock{}, session: 1}
 	assert.NilError(t, old.write(context.Background(), mfrecord.Head{Holder: "h-1", Epoch: 1}, progressRow(1)))
--- a/mfowner/machines_test.go
+++ b/mfowner/machines_test.go
@@ -46,7 +46,7 @@
 
 // A call rejected by the platform's rate limit must not count as one that may have been
 // executed.
-func TestRateLimitedCallIsDeclined(t *testing.T) {
+func TestRateLimitedCallIsThrottled(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want mfduty.Answer
--- a/mfowner/owner.go
+++ b/mfowner/owner.go
@@ -91,7 +91,7 @@
 
 // Shares is the allocation of capacity to client accounts and their usage, for operators.
 type Shares struct {
-	Standing mfshare.Allocation
+	Allocation mfshare.Allocation
 	// Used is the number of cores that the tasks of each account occupy.
 	Used map[mothferry.AccountID]float64
 }
--- a/mfowner/status.go
+++ b/mfowner/status.go
@@ -23,8 +23,8 @@
 
 // WaveStatus is the stored state of one wave.
 type WaveStatus struct {
-	Wave  mothferry.WaveID
-	Begun time.Time
+	Wave      mothferry.WaveID
+	StartedAt time.Time
 	// Done holds the machines taken out of service in the wave.
 	Done []mothferry.MachineID
 }
@@ -48,7 +48,7 @@
 			if err != nil {
 				return s, err
 			}
-			s.Waves = append(s.Waves, WaveStatus{Wave: id, Begun: w.Begun, Done: w.Done})
+			s.Waves = append(s.Waves, WaveStatus{Wave: id, StartedAt: w.Begun, Done: w.Done})
 		}
 	}
 	slices.SortFunc(s.Waves, func(a, b WaveStatus) int { return cmp.Compare(a.Wave, b.Wave) })
