--- a/mfcontrol/control.go
+++ b/mfcontrol/control.go
@@ -306,7 +306,7 @@
 	bound := c.Notice + document.Document.Requests.Deadline
 	now := c.Clock.Now()
 	for _, s := range c.Peers.States() {
-		if s.Peer.DataCentre != c.DataCentre || s.Heard.IsZero() || now.Sub(s.Heard) > bound {
+		if s.Peer.DataCentre != c.DataCentre || s.LastHeard.IsZero() || now.Sub(s.LastHeard) > bound {
 			continue
 		}
 		if !quiescedIn(s.Status, pool, r.LeavingSince) {
--- a/mffollow/fresh.go
+++ b/mffollow/fresh.go
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	status, err := f.Mesh.Exchange(ctx, p)
-	if err != nil && f.Mesh.Await(ctx, p.Daemon) == nil {
+	if err != nil && f.Mesh.AwaitSession(ctx, p.Daemon) == nil {
 		// The session ended during a pause of this daemon, and the peer is well.
 		status, err = f.Mesh.Exchange(ctx, p)
 	}
--- a/mfoperate/handler.go
+++ b/mfoperate/handler.go
@@ -163,8 +163,8 @@
 	now := h.Clock.Now()
 	for _, s := range h.Mesh.States() {
 		p := PeerStatus{Daemon: s.Peer.Daemon, DataCentre: s.Peer.DataCentre, HeardAgoMs: -1, Revision: s.Status.Revision, Stopping: s.Status.Stopping}
-		if !s.Heard.IsZero() {
-			p.HeardAgoMs = now.Sub(s.Heard).Milliseconds()
+		if !s.LastHeard.IsZero() {
+			p.HeardAgoMs = now.Sub(s.LastHeard).Milliseconds()
 			p.Live = h.Mesh.IsLive(s, now, h.PeerTimeout)
 		}
 		peers = append(peers, p)
--- a/mfpeer/call.go
+++ b/mfpeer/call.go
@@ -120,7 +120,7 @@
 // serveStream answers one call. A stream that announces a spilled request is
 // handed to the spill server, which then owns it.
 func (m *Mesh) serveStream(ctx context.Context, stream *yamux.Stream) {
-	_ = stream.SetDeadline(time.Now().Add(spillHandshake))
+	_ = stream.SetDeadline(time.Now().Add(spillHandshakeTimeout))
 	reader := bufio.NewReader(stream)
 	var call mfwire.Call
 	options := protodelim.UnmarshalOptions{MaxSize: maxFrame}
@@ -150,12 +150,12 @@
 	}
 	switch k := call.GetKind().(type) {
 	case *mfwire.Call_Status:
-		m.heard(from, k.Status)
+		m.recordStatus(from, k.Status)
 		return &mfwire.Reply{Kind: &mfwire.Reply_Status{Status: m.statusFor(from)}}
 	case *mfwire.Call_ChangesSince:
 		return m.answerChanges(mothferry.Revision(k.ChangesSince.GetBase()))
 	case *mfwire.Call_Changes:
-		delta, err := deltaFrom(k.Changes)
+		delta, err := decodeChanges(k.Changes)
 		if err != nil {
 			return failure(err.Error())
 		}
@@ -176,7 +176,7 @@
 }
 
 func (m *Mesh) answerChanges(base mothferry.Revision) *mfwire.Reply {
-	changes, err := changesOf(m.Node.Since(base))
+	changes, err := encodeChanges(m.Node.Since(base))
 	if err != nil {
 		return failure(err.Error())
 	}
@@ -212,7 +212,7 @@
 	return &mfwire.Reply{Kind: &mfwire.Reply_Failure{Failure: &mfwire.Failure{Detail: detail}}}
 }
 
-func changesOf(d mfsnapshot.Delta) (*mfwire.Changes, error) {
+func encodeChanges(d mfsnapshot.Delta) (*mfwire.Changes, error) {
 	out := &mfwire.Changes{Base: uint64(d.Base), Revision: uint64(d.Revision)}
 	for _, r := range d.Records {
 		data, err := r.Encode()
@@ -224,7 +224,7 @@
 	return out, nil
 }
 
-func deltaFrom(w *mfwire.Changes) (mfsnapshot.Delta, error) {
+func decodeChanges(w *mfwire.Changes) (mfsnapshot.Delta, error) {
 	delta := mfsnapshot.Delta{Base: mothferry.Revision(w.GetBase()), Revision: mothferry.Revision(w.GetRevision())}
 	for _, data := range w.GetRecords() {
 		record, err := mfdocument.DecodeRecord(data)
--- a/mfpeer/mesh.go
+++ b/mfpeer/mesh.go
@@ -45,9 +45,9 @@
 
 // Intervals and bounds that are not settings.
 const (
-	maxRedialPause = 2 * time.Second
-	acceptBacklog  = 1024
-	spillHandshake = 5 * time.Second
+	maxRedialDelay        = 2 * time.Second
+	acceptBacklog         = 1024
+	spillHandshakeTimeout = 5 * time.Second
 	// remoteFactor is how many times longer the interval of heartbeats to
 	// daemons of other data centres is. They share no runners; what they need
 	// to hear is who could take over requests, and which revision is in force.
@@ -57,9 +57,9 @@
 // State is what the mesh knows of one peer.
 type State struct {
 	Peer Peer
-	// Heard is when the peer's last heartbeat arrived; zero if none has.
-	Heard  time.Time
-	Status Status
+	// LastHeard is when the peer's last heartbeat arrived; zero if none has.
+	LastHeard time.Time
+	Status    Status
 }
 
 // ErrNoSession reports that there is no session to a peer at present.
@@ -159,11 +159,11 @@
 
 // IsLive reports whether a peer was heard within bound, as Live counts it.
 func (m *Mesh) IsLive(s State, now time.Time, bound time.Duration) bool {
-	return !s.Heard.IsZero() && now.Sub(s.Heard) < bound*time.Duration(m.factor(s.Peer))
+	return !s.LastHeard.IsZero() && now.Sub(s.LastHeard) < bound*time.Duration(m.heartbeatFactor(s.Peer))
 }
 
-// factor is how many times Heartbeat the interval to a peer is.
-func (m *Mesh) factor(p Peer) int {
+// heartbeatFactor is how many times Heartbeat the interval to a peer is.
+func (m *Mesh) heartbeatFactor(p Peer) int {
 	if p.DataCentre == m.DataCentre {
 		return 1
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return mfsnapshot.Delta{}, err
 	}
-	return deltaFrom(reply.GetChanges())
+	return decodeChanges(reply.GetChanges())
 }
 
 // Placement asks a peer for the placement of a pool of its data centre.
@@ -197,8 +197,8 @@
 	if err != nil {
 		return Status{}, err
 	}
-	m.heard(p, reply.GetStatus())
-	return statusFrom(reply.GetStatus()), nil
+	m.recordStatus(p, reply.GetStatus())
+	return decodeStatus(reply.GetStatus()), nil
 }
 
 // statusFor returns the heartbeat for a peer.
@@ -207,19 +207,19 @@
 	if p.DataCentre != m.DataCentre {
 		status = status.remote()
 	}
-	return status.wire()
+	return status.encode()
 }
 
 // Push sends newly accepted documents to every peer and waits for their
 // replies, which tell what each has in force. A peer that misses the push
 // learns the revision from the next heartbeat.
 func (m *Mesh) Push(ctx context.Context, d mfsnapshot.Delta) {
-	changes, err := changesOf(d)
+	changes, err := encodeChanges(d)
 	if err != nil {
 		m.Log.WithError(err).Error("Documents could not be encoded.")
 		return
 	}
-	m.toAll(ctx, func(Peer) bool { return true }, &mfwire.Call{Kind: &mfwire.Call_Changes{Changes: changes}})
+	m.broadcast(ctx, func(Peer) bool { return true }, &mfwire.Call{Kind: &mfwire.Call_Changes{Changes: changes}})
 }
 
 // PushPlacement sends a placement to every peer of this data centre.
@@ -230,11 +230,11 @@
 		return
 	}
 	near := func(k Peer) bool { return k.DataCentre == m.DataCentre }
-	m.toAll(ctx, near, &mfwire.Call{Kind: &mfwire.Call_Placement{Placement: &mfwire.Placement{Record: record}}})
+	m.broadcast(ctx, near, &mfwire.Call{Kind: &mfwire.Call_Placement{Placement: &mfwire.Placement{Record: record}}})
 }
 
-// toAll sends one call to the chosen peers at the same time and waits for them.
-func (m *Mesh) toAll(ctx context.Context, chosen func(Peer) bool, kind *mfwire.Call) {
+// broadcast sends one call to the chosen peers at the same time and waits for them.
+func (m *Mesh) broadcast(ctx context.Context, chosen func(Peer) bool, kind *mfwire.Call) {
 	var group sync.WaitGroup
 	for _, p := range m.Peers {
 		if !chosen(p) {
@@ -247,7 +247,7 @@
 				return
 			}
 			if status := reply.GetStatus(); status != nil {
-				m.heard(p, status)
+				m.recordStatus(p, status)
 			}
 		})
 	}
@@ -264,12 +264,12 @@
 			m.Log.WithField("peer", p.Daemon).WithError(err).Debug("Peer cannot be reached.")
 			jitter := time.Duration(float64(pause) * (0.5 + m.Random.Float64()))
 			mfclock.Sleep(ctx, m.Clock, jitter)
-			pause = min(2*pause, maxRedialPause)
+			pause = min(2*pause, maxRedialDelay)
 			continue
 		}
 		pause = m.Heartbeat
 		m.Log.WithField("peer", p.Daemon).Info("Session opened.")
-		m.beat(ctx, p, session)
+		m.exchangeHeartbeats(ctx, p, session)
 		m.drop(p.Daemon, session)
 		if ctx.Err() == nil {
 			m.Log.WithField("peer", p.Daemon).Warn("Session lost.")
@@ -296,8 +296,8 @@
 	return session, nil
 }
 
-// Await waits until there is a session to a peer.
-func (m *Mesh) Await(ctx context.Context, peer mothferry.DaemonID) error {
+// AwaitSession waits until there is a session to a peer.
+func (m *Mesh) AwaitSession(ctx context.Context, peer mothferry.DaemonID) error {
 	for {
 		m.mutex.Lock()
 		_, there := m.sessions[peer]
@@ -314,10 +314,10 @@
 	}
 }
 
-// beat exchanges heartbeats with a peer until a call fails. Of two peers only
+// exchangeHeartbeats exchanges heartbeats with a peer until a call fails. Of two peers only
 // the one with the smaller id begins: the reply carries the other's status.
 // The other side merely watches its session.
-func (m *Mesh) beat(ctx context.Context, p Peer, session *mfsession.Session) {
+func (m *Mesh) exchangeHeartbeats(ctx context.Context, p Peer, session *mfsession.Session) {
 	for ctx.Err() == nil {
 		if m.Self < p.Daemon {
 			if _, err := m.Exchange(ctx, p); err != nil {
@@ -328,17 +328,17 @@
 		case <-ctx.Done():
 		case <-session.CloseChan():
 			return
-		case <-m.Clock.After(m.Heartbeat * time.Duration(m.factor(p))):
+		case <-m.Clock.After(m.Heartbeat * time.Duration(m.heartbeatFactor(p))):
 		}
 	}
 }
 
-// heard notes a heartbeat and hands it to the node.
-func (m *Mesh) heard(p Peer, w *mfwire.Status) {
-	status := statusFrom(w)
+// recordStatus notes a heartbeat and hands it to the node.
+func (m *Mesh) recordStatus(p Peer, w *mfwire.Status) {
+	status := decodeStatus(w)
 	m.mutex.Lock()
 	state := m.states[p.Daemon]
-	state.Heard, state.Status = m.Clock.Now(), status
+	state.LastHeard, state.Status = m.Clock.Now(), status
 	m.mutex.Unlock()
 	m.Node.HandleStatus(p, status)
 }
--- a/mfpeer/mesh_test.go
+++ b/mfpeer/mesh_test.go
@@ -25,48 +25,48 @@
 	"mothferry/mfsnapshot"
 )
 
-// node is a Node that records what it is told.
-type node struct {
+// fakeNode is a Node that records what it is told.
+type fakeNode struct {
 	mutex  sync.Mutex
 	status Status
 	pushed []mfsnapshot.Delta
 	heard  int
 }
 
-func (n *node) Status() Status { return n.status }
-func (n *node) Since(base mothferry.Revision) mfsnapshot.Delta {
+func (n *fakeNode) Status() Status { return n.status }
+func (n *fakeNode) Since(base mothferry.Revision) mfsnapshot.Delta {
 	d := mfdocument.Default()
 	d.Service = "s"
 	return mfsnapshot.Delta{Base: base, Revision: 7, Records: []mfdocument.Record{{Document: d, Revision: 7}}}
 }
 
-func (n *node) Placement(pool mothferry.PoolID) (mfplacement.Record, bool) {
+func (n *fakeNode) Placement(pool mothferry.PoolID) (mfplacement.Record, bool) {
 	return mfplacement.Record{DataCentre: "dc1", Pool: pool, Generation: 3}, pool == "p"
 }
 
-func (n *node) HandleStatus(Peer, Status) {
+func (n *fakeNode) HandleStatus(Peer, Status) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.heard++
 }
 
-func (n *node) HandleChanges(_ Peer, d mfsnapshot.Delta) {
+func (n *fakeNode) HandleChanges(_ Peer, d mfsnapshot.Delta) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.pushed = append(n.pushed, d)
 }
 
-func (n *node) HandlePlacement(Peer, mfplacement.Record) {}
+func (n *fakeNode) HandlePlacement(Peer, mfplacement.Record) {}
 
-// pair runs two meshes that know each other.
-func pair(t *testing.T) (a, b *Mesh, nodes [2]*node) {
+// newMeshPair runs two meshes that know each other.
+func newMeshPair(t *testing.T) (a, b *Mesh, nodes [2]*fakeNode) {
 	t.Helper()
 	var meshes [2]*Mesh
 	var peers []Peer
 	for i, name := range []mothferry.DaemonID{"a", "b"} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		nodes[i] = &node{status: Status{Revision: mothferry.Revision(i + 1), Services: map[mothferry.ServiceID]ServiceStatus{"s": {Queued: 4, InFlight: []int{1, 2}}}, Shards: map[mothferry.PoolID]ShardStatus{"p": {Generation: 3, InFlightLeaving: 1}}}}
+		nodes[i] = &fakeNode{status: Status{Revision: mothferry.Revision(i + 1), Services: map[mothferry.ServiceID]ServiceStatus{"s": {Queued: 4, InFlight: []int{1, 2}}}, Shards: map[mothferry.PoolID]ShardStatus{"p": {Generation: 3, InFlightLeaving: 1}}}}
 		meshes[i] = &Mesh{
 			Self: name, DataCentre: "dc1", Listener: listener, Heartbeat: 10 * time.Millisecond, Connect: 10 * time.Second, Timeout: 10 * time.Second,
 			Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Node: nodes[i], Log: mflog.Discard(),
@@ -97,7 +97,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	a, _, nodes := pair(t)
+	a, _, nodes := newMeshPair(t)
 	assert.DeepEqual(t, a.States()[0].Status, nodes[1].status)
 	delta, err := a.Changes(t.Context(), "b", 3)
 	assert.NilError(t, err)
@@ -117,7 +117,7 @@
 }
 
 func TestSpillCarriesOneExchange(t *testing.T) {
-	a, _, _ := pair(t)
+	a, _, _ := newMeshPair(t)
 	connection, err := a.DialSpill(t.Context(), "b", 1)
 	assert.NilError(t, err)
 	defer connection.Close()
@@ -139,7 +139,7 @@
 // TestMalformedFrames: bytes that are no message, messages without a kind and
 // daemons that the settings do not name are refused, and the mesh goes on.
 func TestMalformedFrames(t *testing.T) {
-	_, b, nodes := pair(t)
+	_, b, nodes := newMeshPair(t)
 	session := func() *yamux.Session {
 		connection, err := net.Dial("tcp", b.Listener.Addr().String())
 		assert.NilError(t, err)
@@ -183,7 +183,7 @@
 // FuzzAnswer shows that no message makes a daemon panic.
 func FuzzAnswer(f *testing.F) {
 	f.Add("a", uint64(1), []byte("{}"))
-	m := &Mesh{Peers: []Peer{{Daemon: "a"}}, Node: &node{}, Clock: mfclock.System{}, Log: mflog.Discard()}
+	m := &Mesh{Peers: []Peer{{Daemon: "a"}}, Node: &fakeNode{}, Clock: mfclock.System{}, Log: mflog.Discard()}
 	m.Prepare()
 	f.Fuzz(func(_ *testing.T, daemon string, number uint64, data []byte) {
 		m.answer(&mfwire.Call{Daemon: daemon, Kind: &mfwire.Call_Changes{Changes: &mfwire.Changes{Base: number, Revision: number, Records: [][]byte{data}}}})
--- a/mfpeer/spill.go
+++ b/mfpeer/spill.go
@@ -50,7 +50,7 @@
 func (m *Mesh) spillServer() *http.Server {
 	return &http.Server{
 		Handler:           m.Spill,
-		ReadHeaderTimeout: spillHandshake,
+		ReadHeaderTimeout: spillHandshakeTimeout,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			spill, _ := c.(*spillConnection)
 			return context.WithValue(ctx, hopsKey{}, spill.hops)
@@ -88,7 +88,7 @@
 		_ = c.Close()
 	case <-ctx.Done():
 		_ = c.Close()
-	case <-time.After(spillHandshake):
+	case <-time.After(spillHandshakeTimeout):
 		_ = c.Close()
 	}
 }
--- a/mfpeer/status.go
+++ b/mfpeer/status.go
@@ -40,10 +40,10 @@
 	InFlight []int
 }
 
-// millis is the factor between a number and its thousandths on the wire.
-const millis = 1000
+// perThousand is the factor between a number and its thousandths on the wire.
+const perThousand = 1000
 
-func (s Status) wire() *mfwire.Status {
+func (s Status) encode() *mfwire.Status {
 	out := &mfwire.Status{Incarnation: s.Incarnation, Revision: uint64(s.Revision), Stopping: s.Stopping}
 	for pool, k := range s.Shards {
 		out.Shards = append(out.Shards, &mfwire.ShardStatus{
@@ -51,7 +51,7 @@
 		})
 	}
 	for service, k := range s.Services {
-		status := &mfwire.ServiceStatus{Service: string(service), Queued: uint32(k.Queued), DemandMillis: uint32(k.Demand * millis)}
+		status := &mfwire.ServiceStatus{Service: string(service), Queued: uint32(k.Queued), DemandMillis: uint32(k.Demand * perThousand)}
 		for _, n := range k.InFlight {
 			status.InFlight = append(status.InFlight, uint32(n))
 		}
@@ -60,7 +60,7 @@
 	return out
 }
 
-func statusFrom(w *mfwire.Status) Status {
+func decodeStatus(w *mfwire.Status) Status {
 	out := Status{
 		Incarnation: w.GetIncarnation(),
 		Revision:    mothferry.Revision(w.GetRevision()),
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, k := range w.GetServices() {
-		status := ServiceStatus{Queued: int(k.GetQueued()), Demand: float64(k.GetDemandMillis()) / millis}
+		status := ServiceStatus{Queued: int(k.GetQueued()), Demand: float64(k.GetDemandMillis()) / perThousand}
 		for _, n := range k.GetInFlight() {
 			status.InFlight = append(status.InFlight, int(n))
 		}
