--- a/mfcontrol/control.go
+++ b/mfcontrol/control.go
@@ -174,7 +174,7 @@
 // what is remembered, see known.
 func (c *Controller) planInput(ctx context.Context, k *shardState, snapshot *mfsnapshot.Snapshot) (mfplace.Input, error) {
 	shard := k.fence.Shard
-	in := mfplace.Input{Shard: shard, Epoch: k.fence.Epoch, Quiet: c.quiesced, Previous: k.placement, Revision: snapshot.Revision}
+	in := mfplace.Input{Shard: shard, Epoch: k.fence.Epoch, Quiesced: c.quiesced, Previous: k.placement, Revision: snapshot.Revision}
 	reports, err := c.reports(ctx, shard)
 	if err != nil {
 		return in, err
--- a/mfplace/plan.go
+++ b/mfplace/plan.go
@@ -34,9 +34,9 @@
 	Documents []mfdocument.Document
 	Revision  mothferry.Revision
 	Hosts     []Host
-	// Quiet reports whether every entry host knows that a runner is leaving
+	// Quiesced reports whether every entry host knows that a runner is leaving
 	// and has nothing in flight there.
-	Quiet func(r mfplacement.Runner) bool
+	Quiesced func(r mfplacement.Runner) bool
 }
 
 // Start asks for a task to be started on a host.
@@ -65,14 +65,14 @@
 
 // planner holds a plan in the making.
 type planner struct {
-	input    Input
-	hosts    map[mothferry.HostID]*Host
-	runners  []mfplacement.Runner
-	used     map[mothferry.HostID]mothferry.Resources
-	next     mothferry.Generation
-	created  int
-	unplaced map[mothferry.ServiceID]int
-	failures map[mothferry.HostID]int
+	input          Input
+	hosts          map[mothferry.HostID]*Host
+	runners        []mfplacement.Runner
+	reserved       map[mothferry.HostID]mothferry.Resources
+	nextGeneration mothferry.Generation
+	created        int
+	unplaced       map[mothferry.ServiceID]int
+	failures       map[mothferry.HostID]int
 }
 
 // Plan works out the next placement of a shard:
@@ -92,45 +92,45 @@
 //  5. Runners that leave are stopped once all entry hosts are done with them.
 func Plan(in Input) Output {
 	p := &planner{
-		input:    in,
-		hosts:    map[mothferry.HostID]*Host{},
-		used:     map[mothferry.HostID]mothferry.Resources{},
-		next:     in.Previous.Generation + 1,
-		unplaced: map[mothferry.ServiceID]int{},
-		failures: map[mothferry.HostID]int{},
+		input:          in,
+		hosts:          map[mothferry.HostID]*Host{},
+		reserved:       map[mothferry.HostID]mothferry.Resources{},
+		nextGeneration: in.Previous.Generation + 1,
+		unplaced:       map[mothferry.ServiceID]int{},
+		failures:       map[mothferry.HostID]int{},
 	}
 	maps.Copy(p.failures, in.Previous.Failures)
 	for i := range in.Hosts {
 		p.hosts[in.Hosts[i].Record.Host] = &in.Hosts[i]
 	}
-	p.observe()
-	p.leaveWithHosts()
+	p.applyReports()
+	p.evacuateLeavingHosts()
 	wanted := map[mothferry.ServiceID]bool{}
 	for _, d := range in.Documents {
 		wanted[d.Service] = true
-		p.fill(d)
-		p.shrink(d.Service, d.Share(in.Shard))
+		p.addRunners(d)
+		p.removeRunners(d.Service, d.Share(in.Shard))
 	}
 	for _, s := range p.services() {
 		if !wanted[s] {
-			p.shrink(s, 0)
+			p.removeRunners(s, 0)
 		}
 	}
-	p.stopQuiet()
+	p.stopQuiesced()
 	return p.output()
 }
 
-// observe brings the runners up to their workers' reports.
-func (p *planner) observe() {
+// applyReports brings the runners up to their workers' reports.
+func (p *planner) applyReports() {
 	for _, r := range p.input.Previous.Runners {
-		if kept, ok := p.observed(r); ok {
+		if kept, ok := p.applyReport(r); ok {
 			p.runners = append(p.runners, kept)
-			p.used[r.Host] = p.used[r.Host].Add(r.Resources)
+			p.reserved[r.Host] = p.reserved[r.Host].Add(r.Resources)
 		}
 	}
 }
 
-func (p *planner) observed(r mfplacement.Runner) (mfplacement.Runner, bool) {
+func (p *planner) applyReport(r mfplacement.Runner) (mfplacement.Runner, bool) {
 	host, ok := p.hosts[r.Host]
 	if !ok || host.Listed == "" && !host.Reported {
 		return r, false
@@ -153,34 +153,34 @@
 	return r, true
 }
 
-// leaveWithHosts lets runners leave whose hosts the platform is taking away.
-func (p *planner) leaveWithHosts() {
+// evacuateLeavingHosts lets runners leave whose hosts the platform is taking away.
+func (p *planner) evacuateLeavingHosts() {
 	for i, r := range p.runners {
 		if active(r) && p.hosts[r.Host].Listed == mothferry.HostLeaving {
-			p.leave(&p.runners[i])
+			p.markLeaving(&p.runners[i])
 		}
 	}
 }
 
-func (p *planner) leave(r *mfplacement.Runner) {
-	r.State, r.LeavingSince = mfplacement.StateLeaving, p.next
+func (p *planner) markLeaving(r *mfplacement.Runner) {
+	r.State, r.LeavingSince = mfplacement.StateLeaving, p.nextGeneration
 }
 
-// stays reports whether runners may be placed on a host and stay there.
-func stays(h *Host) bool {
+// schedulable reports whether runners may be placed on a host and stay there.
+func schedulable(h *Host) bool {
 	return h.Record.State == mfhost.StateServing && h.Listed == mothferry.HostLive && h.Reported
 }
 
-// fill places runners of a service until enough are on hosts that stay.
-func (p *planner) fill(d mfdocument.Document) {
+// addRunners places runners of a service until enough are on hosts that stay.
+func (p *planner) addRunners(d mfdocument.Document) {
 	have := 0
 	for _, r := range p.runners {
-		if r.Service == d.Service && active(r) && stays(p.hosts[r.Host]) {
+		if r.Service == d.Service && active(r) && schedulable(p.hosts[r.Host]) {
 			have++
 		}
 	}
 	for range d.Share(p.input.Shard) - have {
-		host := p.roomiest(d)
+		host := p.selectHost(d)
 		if host == nil {
 			p.unplaced[d.Service]++
 			continue
@@ -195,7 +195,7 @@
 			Slots:       d.Runner.Slots,
 			Connections: d.Runner.Connections,
 		})
-		p.used[host.Record.Host] = p.used[host.Record.Host].Add(d.Resources.Demand())
+		p.reserved[host.Record.Host] = p.reserved[host.Record.Host].Add(d.Resources.Demand())
 	}
 }
 
@@ -203,15 +203,15 @@
 // other plan ever makes the same id.
 func (p *planner) taskID(service mothferry.ServiceID) mothferry.TaskID {
 	s := p.input.Shard
-	return mothferry.TaskID(fmt.Sprintf("%s.%s.%s.%d.%d", service, s.DataCentre, s.Pool, p.next, p.created))
+	return mothferry.TaskID(fmt.Sprintf("%s.%s.%s.%d.%d", service, s.DataCentre, s.Pool, p.nextGeneration, p.created))
 }
 
 func active(r mfplacement.Runner) bool {
 	return r.State == mfplacement.StateStarting || r.State == mfplacement.StateServing
 }
 
-// roomiest returns the host for one more runner of a service, nil if none has room.
-func (p *planner) roomiest(d mfdocument.Document) *Host {
+// selectHost returns the host for one more runner of a service, nil if none has room.
+func (p *planner) selectHost(d mfdocument.Document) *Host {
 	onRack := map[mothferry.RackID]int{}
 	onHost := map[mothferry.HostID]int{}
 	for _, r := range p.runners {
@@ -223,35 +223,35 @@
 	var best *Host
 	for _, id := range slices.Sorted(maps.Keys(p.hosts)) {
 		h := p.hosts[id]
-		if !stays(h) || !d.Resources.Demand().Fits(p.free(h)) {
+		if !schedulable(h) || !d.Resources.Demand().Fits(p.freeCapacity(h)) {
 			continue
 		}
-		if best == nil || p.compare(h, best, onRack, onHost) < 0 {
+		if best == nil || p.compareHosts(h, best, onRack, onHost) < 0 {
 			best = h
 		}
 	}
 	return best
 }
 
-func (p *planner) free(h *Host) mothferry.Resources {
-	return h.Record.Capacity.Sub(p.used[h.Record.Host])
+func (p *planner) freeCapacity(h *Host) mothferry.Resources {
+	return h.Record.Capacity.Sub(p.reserved[h.Record.Host])
 }
 
-func (p *planner) compare(a, b *Host, onRack map[mothferry.RackID]int, onHost map[mothferry.HostID]int) int {
+func (p *planner) compareHosts(a, b *Host, onRack map[mothferry.RackID]int, onHost map[mothferry.HostID]int) int {
 	return cmp.Or(
 		cmp.Compare(p.failures[a.Record.Host], p.failures[b.Record.Host]),
 		cmp.Compare(onRack[a.Record.Rack], onRack[b.Record.Rack]),
 		cmp.Compare(onHost[a.Record.Host], onHost[b.Record.Host]),
-		-cmp.Compare(p.free(a).Cores, p.free(b).Cores),
+		-cmp.Compare(p.freeCapacity(a).Cores, p.freeCapacity(b).Cores),
 	)
 }
 
-// shrink lets runners of a service leave: those on hosts that stay beyond the
+// removeRunners lets runners of a service leave: those on hosts that stay beyond the
 // share, and those on hosts being emptied. Of the latter one that serves may
 // leave for each runner that serves beyond the share, so that a replacement
 // comes first. A replacement that has not started to serve is not what is too
 // many, though for a while there are more runners than the share.
-func (p *planner) shrink(service mothferry.ServiceID, share int) {
+func (p *planner) removeRunners(service mothferry.ServiceID, share int) {
 	var staying, emptied []*mfplacement.Runner
 	serving := 0
 	for i := range p.runners {
@@ -262,7 +262,7 @@
 		if r.State == mfplacement.StateServing {
 			serving++
 		}
-		if stays(p.hosts[r.Host]) {
+		if schedulable(p.hosts[r.Host]) {
 			staying = append(staying, r)
 		} else {
 			emptied = append(emptied, r)
@@ -278,15 +278,15 @@
 		if r.State == mfplacement.StateServing {
 			serving--
 		}
-		p.leave(r)
+		p.markLeaving(r)
 	}
 	for _, r := range emptied {
 		switch {
 		case r.State == mfplacement.StateStarting:
-			p.leave(r)
+			p.markLeaving(r)
 		case serving > share:
 			serving--
-			p.leave(r)
+			p.markLeaving(r)
 		}
 	}
 }
@@ -303,10 +303,10 @@
 	}
 }
 
-// stopQuiet moves runners that no entry host uses any more to stopping.
-func (p *planner) stopQuiet() {
+// stopQuiesced moves runners that no entry host uses any more to stopping.
+func (p *planner) stopQuiesced() {
 	for i, r := range p.runners {
-		if r.State == mfplacement.StateLeaving && r.LeavingSince < p.next && p.input.Quiet(r) {
+		if r.State == mfplacement.StateLeaving && r.LeavingSince < p.nextGeneration && p.input.Quiesced(r) {
 			p.runners[i].State = mfplacement.StateStopping
 		}
 	}
@@ -331,14 +331,14 @@
 		Unplaced: p.unplaced,
 	}
 	if out.Changed {
-		out.Placement.Generation = p.next
+		out.Placement.Generation = p.nextGeneration
 	}
-	out.Stops = p.orphans()
+	out.Stops = p.stopOrphaned()
 	for _, r := range p.runners {
 		_, known := p.hosts[r.Host].Tasks[r.Task]
 		switch {
 		case r.State == mfplacement.StateStarting && !known:
-			out.Starts = append(out.Starts, Start{Host: r.Host, Task: p.spec(r)})
+			out.Starts = append(out.Starts, Start{Host: r.Host, Task: p.taskSpec(r)})
 		case r.State == mfplacement.StateStopping && known:
 			out.Stops = append(out.Stops, Stop{Host: r.Host, Task: r.Task})
 		}
@@ -346,9 +346,9 @@
 	return out
 }
 
-// orphans returns the tasks that workers report and the plan does not hold:
+// stopOrphaned returns the tasks that workers report and the plan does not hold:
 // tasks are published before they are started, so these have been given up.
-func (p *planner) orphans() []Stop {
+func (p *planner) stopOrphaned() []Stop {
 	planned := map[mothferry.TaskID]bool{}
 	for _, r := range p.runners {
 		planned[r.Task] = true
@@ -364,7 +364,7 @@
 	return stops
 }
 
-func (p *planner) spec(r mfplacement.Runner) mothferry.TaskSpec {
+func (p *planner) taskSpec(r mfplacement.Runner) mothferry.TaskSpec {
 	spec := mothferry.TaskSpec{Task: r.Task, Service: r.Service, Resources: r.Resources, Slots: r.Slots, Connections: r.Connections}
 	for _, d := range p.input.Documents {
 		if d.Service == r.Service {
--- a/mfplace/plan_test.go
+++ b/mfplace/plan_test.go
@@ -22,11 +22,11 @@
 	documents []mfdocument.Document
 	placement mfplacement.Record
 	tasks     map[mothferry.TaskID]bool
-	quiet     bool
+	quiesced  bool
 }
 
 func newFleet(hosts int) *fleet {
-	f := &fleet{tasks: map[mothferry.TaskID]bool{}, quiet: true}
+	f := &fleet{tasks: map[mothferry.TaskID]bool{}, quiesced: true}
 	for i := range hosts {
 		f.hosts = append(f.hosts, Host{
 			Record: mfhost.Record{
@@ -39,7 +39,7 @@
 	return f
 }
 
-func (f *fleet) document(service mothferry.ServiceID, runners int) {
+func (f *fleet) setDocument(service mothferry.ServiceID, runners int) {
 	d := mfdocument.Default()
 	d.Service, d.Runners = service, runners
 	d.Place = mfdocument.Place{DataCentres: []mothferry.DataCentre{"dc1"}, Pools: []mothferry.PoolID{"p"}}
@@ -54,7 +54,7 @@
 
 // step plans once and lets the workers carry the plan out.
 func (f *fleet) step() Output {
-	out := Plan(Input{Shard: shard, Epoch: 1, Previous: f.placement, Documents: f.documents, Hosts: f.hosts, Quiet: func(mfplacement.Runner) bool { return f.quiet }})
+	out := Plan(Input{Shard: shard, Epoch: 1, Previous: f.placement, Documents: f.documents, Hosts: f.hosts, Quiesced: func(mfplacement.Runner) bool { return f.quiesced }})
 	f.placement = out.Placement
 	for _, s := range out.Starts {
 		f.host(s.Host).Tasks[s.Task.Task] = mothferry.TaskStatus{Task: s.Task.Task, Service: s.Task.Service, State: mothferry.TaskServing, Address: "127.0.0.1:1"}
@@ -90,18 +90,18 @@
 	}
 }
 
-// TestPlanFollows plays any sequence of document changes, failing tasks, dying,
+// TestPlanInvariants plays any sequence of document changes, failing tasks, dying,
 // emptied and leaving hosts. No host is ever overfilled, no task id is used
 // twice, and once things are quiet exactly the wanted runners serve, on hosts
 // that stay, and nothing changes any more.
-func TestPlanFollows(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		f := newFleet(16)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			h := &f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				f.document(rapid.SampledFrom([]mothferry.ServiceID{"a", "b"}).Draw(t, "service"), rapid.IntRange(0, 12).Draw(t, "runners"))
+				f.setDocument(rapid.SampledFrom([]mothferry.ServiceID{"a", "b"}).Draw(t, "service"), rapid.IntRange(0, 12).Draw(t, "runners"))
 			case 1:
 				for id, s := range h.Tasks {
 					s.State = mothferry.TaskFailed
@@ -147,11 +147,11 @@
 	}
 }
 
-// TestEmptyingKeepsServing: emptying hosts by decision never lowers the number
+// TestEvacuationKeepsServing: emptying hosts by decision never lowers the number
 // of runners that serve, and no runner moves twice though hosts go one by one.
-func TestEmptyingKeepsServing(t *testing.T) {
+func TestEvacuationKeepsServing(t *testing.T) {
 	f := newFleet(12)
-	f.document("a", 8)
+	f.setDocument("a", 8)
 	f.settle()
 	for i := range 4 {
 		f.hosts[i].Record.State = mfhost.StateDraining
@@ -168,9 +168,9 @@
 // work at once, though no other host has room for its runners.
 func TestLeavingHostGetsNoWork(t *testing.T) {
 	f := newFleet(1)
-	f.document("a", 2)
+	f.setDocument("a", 2)
 	f.settle()
-	f.quiet = false
+	f.quiesced = false
 	f.hosts[0].Listed = mothferry.HostLeaving
 	out := f.step()
 	assert.Equal(t, f.serving("a"), 0)
@@ -186,7 +186,7 @@
 	for i := range f.hosts {
 		f.hosts[i].Record.Rack = "r"
 	}
-	f.document("a", 3)
+	f.setDocument("a", 3)
 	failing := &f.hosts[0]
 	for range 6 {
 		f.step()
@@ -206,7 +206,7 @@
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
 			f := newFleet(hosts)
 			for i := range hosts / 4 {
-				f.document(mothferry.ServiceID(fmt.Sprint("s", i)), 16)
+				f.setDocument(mothferry.ServiceID(fmt.Sprint("s", i)), 16)
 			}
 			f.settle()
 			for b.Loop() {
