--- a/mfplatform/client.go
+++ b/mfplatform/client.go
@@ -159,7 +159,7 @@
 		return nil, trace.Wrap(&mothferry.ErrUnavailable{Operation: operation, Err: err})
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, int64(maxMessage)))
+	data, err := io.ReadAll(io.LimitReader(response.Body, int64(maxMessageBytes)))
 	if err != nil {
 		return nil, trace.Wrap(&mothferry.ErrUnavailable{Operation: operation, Err: err})
 	}
--- a/mfplatform/client_test.go
+++ b/mfplatform/client_test.go
@@ -22,9 +22,9 @@
 	return &mfplatform.Client{URL: server.URL, Timeout: 10 * time.Second, HTTP: server.Client()}
 }
 
-// TestErrorsCrossTheWire shows that the errors of an implementation arrive
+// TestErrorsKeepFieldsOverHTTP shows that the errors of an implementation arrive
 // with their fields.
-func TestErrorsCrossTheWire(t *testing.T) {
+func TestErrorsKeepFieldsOverHTTP(t *testing.T) {
 	standin, err := mfstandin.New(mfclock.System{}, mfstandin.Fleet{
 		DataCentres: []mothferry.DataCentre{"dc1"}, Pools: []mothferry.PoolID{"p"}, HostsPerPool: 1, HostsPerRack: 1,
 	})
--- a/mfplatform/handler.go
+++ b/mfplatform/handler.go
@@ -18,7 +18,7 @@
 	mux.HandleFunc("POST "+pathCommit, s.commit)
 	mux.HandleFunc("GET "+pathObjects+"{name}", s.getObject)
 	mux.HandleFunc("PUT "+pathObjects+"{name}", s.putObject)
-	mux.HandleFunc("GET "+pathHosts+"{dc}", s.hosts)
+	mux.HandleFunc("GET "+pathHosts+"{dc}", s.listHosts)
 	mux.HandleFunc("POST "+pathWorkers+"{dc}/reports", s.reports)
 	mux.HandleFunc("POST "+pathWorkers+"{host}/start", s.start)
 	mux.HandleFunc("POST "+pathWorkers+"{host}/stop", s.stop)
@@ -66,14 +66,14 @@
 }
 
 func (s *server) putObject(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, int64(maxMessage)))
+	data, err := io.ReadAll(io.LimitReader(r.Body, int64(maxMessageBytes)))
 	if err == nil {
 		err = s.platform.Objects.Put(r.Context(), r.PathValue("name"), data)
 	}
 	reply(w, struct{}{}, err)
 }
 
-func (s *server) hosts(w http.ResponseWriter, r *http.Request) {
+func (s *server) listHosts(w http.ResponseWriter, r *http.Request) {
 	hosts, err := s.platform.Hosts.Hosts(r.Context(), mothferry.DataCentre(r.PathValue("dc")))
 	out := []listedHost{}
 	for _, h := range hosts {
@@ -108,27 +108,27 @@
 		Task: q.Task, Service: q.Service, Program: q.Program,
 		Resources: q.Resources, Slots: q.Slots, Connections: q.Connections,
 	}
-	reply(w, struct{}{}, s.platform.Workers.Start(r.Context(), host(r), q.Fence.root(), spec))
+	reply(w, struct{}{}, s.platform.Workers.Start(r.Context(), host(r), q.Fence.toRoot(), spec))
 }
 
 func (s *server) stop(w http.ResponseWriter, r *http.Request) {
 	var q stopRequest
 	if decode(w, r, &q) {
-		reply(w, struct{}{}, s.platform.Workers.Stop(r.Context(), host(r), q.Fence.root(), q.Task))
+		reply(w, struct{}{}, s.platform.Workers.Stop(r.Context(), host(r), q.Fence.toRoot(), q.Task))
 	}
 }
 
 func (s *server) drain(w http.ResponseWriter, r *http.Request) {
 	var q hostRequest
 	if decode(w, r, &q) {
-		reply(w, struct{}{}, s.platform.Pools.Drain(r.Context(), host(r), q.Fence.root()))
+		reply(w, struct{}{}, s.platform.Pools.Drain(r.Context(), host(r), q.Fence.toRoot()))
 	}
 }
 
 func (s *server) reboot(w http.ResponseWriter, r *http.Request) {
 	var q hostRequest
 	if decode(w, r, &q) {
-		reply(w, struct{}{}, s.platform.Pools.Reboot(r.Context(), host(r), q.Fence.root()))
+		reply(w, struct{}{}, s.platform.Pools.Reboot(r.Context(), host(r), q.Fence.toRoot()))
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
-	decoder := json.NewDecoder(io.LimitReader(r.Body, int64(maxMessage)))
+	decoder := json.NewDecoder(io.LimitReader(r.Body, int64(maxMessageBytes)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		reply(w, nil, trace.BadParameter("%v", err))
--- a/mfplatform/wire.go
+++ b/mfplatform/wire.go
@@ -14,8 +14,8 @@
 	"mothferry"
 )
 
-// maxMessage bounds one JSON message in either direction.
-const maxMessage = 64 * mothferry.Mebibyte
+// maxMessageBytes bounds one JSON message in either direction.
+const maxMessageBytes = 64 * mothferry.Mebibyte
 
 // Paths of the interface.
 const (
@@ -112,11 +112,11 @@
 
 // Kinds of error on the wire.
 const (
-	kindConflict = "conflict"
-	kindNotFound = "not_found"
-	kindFenced   = "fenced"
-	kindBad      = "bad_request"
-	kindDown     = "unavailable"
+	kindConflict    = "conflict"
+	kindNotFound    = "not_found"
+	kindFenced      = "fenced"
+	kindBadRequest  = "bad_request"
+	kindUnavailable = "unavailable"
 )
 
 type errorReply struct {
@@ -133,7 +133,7 @@
 	return fence{DataCentre: f.Shard.DataCentre, Pool: f.Shard.Pool, Epoch: f.Epoch}
 }
 
-func (f fence) root() mothferry.Fence {
+func (f fence) toRoot() mothferry.Fence {
 	return mothferry.Fence{Shard: mothferry.Shard{DataCentre: f.DataCentre, Pool: f.Pool}, Epoch: f.Epoch}
 }
 
@@ -166,9 +166,9 @@
 	case errors.As(err, &fenced):
 		return http.StatusPreconditionFailed, errorReply{Kind: kindFenced, Fence: toFence(fenced.Fence), Latest: fenced.Latest}
 	case trace.IsBadParameter(err):
-		return http.StatusBadRequest, errorReply{Kind: kindBad, Detail: err.Error()}
+		return http.StatusBadRequest, errorReply{Kind: kindBadRequest, Detail: err.Error()}
 	default:
-		return http.StatusServiceUnavailable, errorReply{Kind: kindDown, Detail: err.Error()}
+		return http.StatusServiceUnavailable, errorReply{Kind: kindUnavailable, Detail: err.Error()}
 	}
 }
 
@@ -184,10 +184,10 @@
 	case kindNotFound:
 		return &mothferry.ErrNotFound{Kind: reply.Thing, Name: reply.Name}
 	case kindFenced:
-		return &mothferry.ErrFenced{Fence: reply.Fence.root(), Latest: reply.Latest}
-	case kindBad:
+		return &mothferry.ErrFenced{Fence: reply.Fence.toRoot(), Latest: reply.Latest}
+	case kindBadRequest:
 		return trace.BadParameter("%s: %s", operation, reply.Detail)
-	case kindDown:
+	case kindUnavailable:
 		return &mothferry.ErrUnavailable{Operation: operation, Err: errors.New(reply.Detail)}
 	default:
 		return &mothferry.ErrBadReply{Operation: operation, Detail: "kind of error is " + reply.Kind}
