--- a/mfprocess/control_test.go
+++ b/mfprocess/control_test.go
@@ -20,55 +20,55 @@
 
 // controlSize is what a measurement of control runs at.
 type controlSize struct {
-	perCentre int
-	pools     int
-	hosts     int
-	documents int
+	daemonsPerCentre int
+	pools            int
+	hosts            int
+	documents        int
 	// entry leaves the entry on, idle, so that heartbeats tell of services.
 	entry bool
 }
 
 // usage is what one daemon has used up to a moment.
 type usage struct {
-	processor time.Duration
-	resident  mothferry.Bytes
-	peer      float64
-	platform  float64
+	cpuTime       time.Duration
+	resident      mothferry.Bytes
+	peerBytes     float64
+	platformBytes float64
 }
 
 // BenchmarkControl measures a daemon's control alone, its entry switched off,
 // while nothing changes. Each size is varied by itself. Run with -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
-	base := controlSize{perCentre: 2, pools: 1, hosts: 32, documents: 10}
+	base := controlSize{daemonsPerCentre: 2, pools: 1, hosts: 32, documents: 10}
 	sizes := []controlSize{base}
 	for _, n := range []int{1, 4, 8} {
 		sizes = append(sizes, controlSize{n, base.pools, base.hosts, base.documents, false})
 	}
 	for _, n := range []int{4, 8, 16} {
-		sizes = append(sizes, controlSize{base.perCentre, n, base.hosts, base.documents, false})
+		sizes = append(sizes, controlSize{base.daemonsPerCentre, n, base.hosts, base.documents, false})
 	}
 	for _, n := range []int{64, 128, 256} {
-		sizes = append(sizes, controlSize{base.perCentre, base.pools, n, base.documents, false})
+		sizes = append(sizes, controlSize{base.daemonsPerCentre, base.pools, n, base.documents, false})
 	}
 	for _, n := range []int{40, 80, 160} {
-		sizes = append(sizes, controlSize{base.perCentre, base.pools, base.hosts, n, false})
+		sizes = append(sizes, controlSize{base.daemonsPerCentre, base.pools, base.hosts, n, false})
 	}
 	for _, n := range []int{10, 40, 160} {
-		sizes = append(sizes, controlSize{base.perCentre, base.pools, base.hosts, n, true})
+		sizes = append(sizes, controlSize{base.daemonsPerCentre, base.pools, base.hosts, n, true})
 	}
 	for _, s := range sizes {
-		name := fmt.Sprintf("daemons=%d/pools=%d/hosts=%d/documents=%d/entry=%t", 3*s.perCentre, s.pools, s.hosts, s.documents, s.entry)
-		b.Run(name, func(b *testing.B) { control(b, s) })
+		name := fmt.Sprintf("daemons=%d/pools=%d/hosts=%d/documents=%d/entry=%t", 3*s.daemonsPerCentre, s.pools, s.hosts, s.documents, s.entry)
+		b.Run(name, func(b *testing.B) { measureControl(b, s) })
 	}
 }
 
-func control(b *testing.B, s controlSize) {
+func measureControl(b *testing.B, s controlSize) {
 	const settled, span = 4 * time.Second, 5 * time.Second
 	var pools []string
 	for i := range s.pools {
 		pools = append(pools, fmt.Sprint("pool-", i))
 	}
-	d := startWith(b, s.perCentre, fmt.Sprintf("roles: {entry: %t}\n", s.entry), "--hosts", strconv.Itoa(s.hosts), "--pools", strings.Join(pools, ","))
+	d := startDeploymentWith(b, s.daemonsPerCentre, fmt.Sprintf("roles: {entry: %t}\n", s.entry), "--hosts", strconv.Itoa(s.hosts), "--pools", strings.Join(pools, ","))
 	for i := range s.documents {
 		k := mfdocument.Default()
 		k.Service, k.Team, k.Runners = mothferry.ServiceID(fmt.Sprint("service-", i)), "team", 6
@@ -85,32 +85,32 @@
 	time.Sleep(settled)
 	before := make([]usage, len(d.processes))
 	for i, p := range d.processes {
-		before[i] = d.used(b, p)
+		before[i] = d.resourceUsage(b, p)
 	}
-	load := get[mfstandin.TableLoad](b, d, "load")
+	load := getStandin[mfstandin.TableLoad](b, d, "load")
 	time.Sleep(span)
-	after := get[mfstandin.TableLoad](b, d, "load")
+	after := getStandin[mfstandin.TableLoad](b, d, "load")
 	var most, sum usage
 	for i, p := range d.processes {
-		u := d.used(b, p)
-		u.processor, u.peer, u.platform = u.processor-before[i].processor, u.peer-before[i].peer, u.platform-before[i].platform
-		most = usage{max(most.processor, u.processor), max(most.resident, u.resident), max(most.peer, u.peer), max(most.platform, u.platform)}
-		sum = usage{sum.processor + u.processor, sum.resident + u.resident, sum.peer + u.peer, sum.platform + u.platform}
+		u := d.resourceUsage(b, p)
+		u.cpuTime, u.peerBytes, u.platformBytes = u.cpuTime-before[i].cpuTime, u.peerBytes-before[i].peerBytes, u.platformBytes-before[i].platformBytes
+		most = usage{max(most.cpuTime, u.cpuTime), max(most.resident, u.resident), max(most.peerBytes, u.peerBytes), max(most.platformBytes, u.platformBytes)}
+		sum = usage{sum.cpuTime + u.cpuTime, sum.resident + u.resident, sum.peerBytes + u.peerBytes, sum.platformBytes + u.platformBytes}
 	}
 	n := float64(len(d.processes))
-	b.ReportMetric(100*most.processor.Seconds()/span.Seconds(), "most-core-%")
-	b.ReportMetric(100*sum.processor.Seconds()/span.Seconds()/n, "mean-core-%")
+	b.ReportMetric(100*most.cpuTime.Seconds()/span.Seconds(), "most-core-%")
+	b.ReportMetric(100*sum.cpuTime.Seconds()/span.Seconds()/n, "mean-core-%")
 	b.ReportMetric(float64(most.resident/mothferry.Mebibyte), "most-MiB")
-	b.ReportMetric(sum.peer/span.Seconds()/n/1000, "mean-peer-kB/s")
-	b.ReportMetric(most.platform/span.Seconds()/1000, "most-platform-kB/s")
+	b.ReportMetric(sum.peerBytes/span.Seconds()/n/1000, "mean-peer-kB/s")
+	b.ReportMetric(most.platformBytes/span.Seconds()/1000, "most-platform-kB/s")
 	b.ReportMetric(float64(after.Reads-load.Reads)/span.Seconds(), "table-reads/s")
 	b.ReportMetric(float64(after.Writes-load.Writes)/span.Seconds(), "table-writes/s")
 	b.ReportMetric(0, "ns/op")
 }
 
-// used reads a daemon's use of processor and memory from the operating system
+// resourceUsage reads a daemon's use of processor and memory from the operating system
 // and its bytes, both ways together, from its metrics.
-func (d *deployment) used(t testing.TB, p *process) usage {
+func (d *deployment) resourceUsage(t testing.TB, p *process) usage {
 	t.Helper()
 	const tick = 10 * time.Millisecond
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
@@ -123,15 +123,15 @@
 	pages, err := strconv.Atoi(fields[22])
 	assert.NilError(t, err)
 	return usage{
-		processor: time.Duration(user+system) * tick,
-		resident:  mothferry.Bytes(pages * os.Getpagesize()),
-		peer:      d.metric(t, p, "mothferry_peer_"),
-		platform:  d.metric(t, p, "mothferry_platform_"),
+		cpuTime:       time.Duration(user+system) * tick,
+		resident:      mothferry.Bytes(pages * os.Getpagesize()),
+		peerBytes:     d.sumMetrics(t, p, "mothferry_peer_"),
+		platformBytes: d.sumMetrics(t, p, "mothferry_platform_"),
 	}
 }
 
-// metric sums a daemon's metrics whose names begin with prefix.
-func (d *deployment) metric(t testing.TB, p *process, prefix string) float64 {
+// sumMetrics sums a daemon's metrics whose names begin with prefix.
+func (d *deployment) sumMetrics(t testing.TB, p *process, prefix string) float64 {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+p.address+":7302/metrics", nil)
 	assert.NilError(t, err)
--- a/mfprocess/deployment_test.go
+++ b/mfprocess/deployment_test.go
@@ -28,12 +28,12 @@
 	"mothferry/mfstandin"
 )
 
-// patience bounds waits for what must happen. It is far above what is needed,
+// waitTimeout bounds waits for what must happen. It is far above what is needed,
 // so that no verdict depends on how busy the machine is.
-const patience = time.Minute
+const waitTimeout = time.Minute
 
-// binaries are the programs under test, built once.
-var binaries string
+// binaryDir are the programs under test, built once.
+var binaryDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "mothferry")
@@ -44,7 +44,7 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	binaries = dir
+	binaryDir = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
@@ -52,42 +52,42 @@
 
 // process is one running daemon.
 type process struct {
-	name     mothferry.DaemonID
-	centre   mothferry.DataCentre
-	address  string
-	settings string
-	command  *exec.Cmd
-	ended    chan struct{}
-	operator *mfoperate.Client
+	name         mothferry.DaemonID
+	centre       mothferry.DataCentre
+	address      string
+	settingsFile string
+	command      *exec.Cmd
+	exited       chan struct{}
+	operator     *mfoperate.Client
 }
 
-func (p *process) callers() string { return "http://" + p.address + ":7300" }
+func (p *process) callerURL() string { return "http://" + p.address + ":7300" }
 
 // deployment is a set of processes.
 type deployment struct {
-	platform  string
-	processes []*process
-	client    *http.Client
+	platformAddress string
+	processes       []*process
+	client          *http.Client
 }
 
-// start runs the stand-in and, in each of three data centres, some daemons.
-func start(t testing.TB, perCentre int, settings string) *deployment {
+// startDeployment runs the stand-in and, in each of three data centres, some daemons.
+func startDeployment(t testing.TB, perCentre int, settings string) *deployment {
 	t.Helper()
-	return startWith(t, perCentre, settings, "--hosts", "16")
+	return startDeploymentWith(t, perCentre, settings, "--hosts", "16")
 }
 
-// startWith does the same with flags for the stand-in.
-func startWith(t testing.TB, perCentre int, settings string, flags ...string) *deployment {
+// startDeploymentWith does the same with flags for the stand-in.
+func startDeploymentWith(t testing.TB, perCentre int, settings string, flags ...string) *deployment {
 	t.Helper()
 	subnet := mffake.ClaimSubnet(t)
 	d := &deployment{
-		platform: subnet + ".1:7400",
-		client:   &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		platformAddress: subnet + ".1:7400",
+		client:          &http.Client{Timeout: waitTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 	t.Cleanup(d.client.CloseIdleConnections)
-	d.run(t, "standin", "mothferry-standin", append([]string{"--listen", d.platform, "--start-delay", "20ms"}, flags...)...)
+	d.startProgram(t, "standin", "mothferry-standin", append([]string{"--listen", d.platformAddress, "--start-delay", "20ms"}, flags...)...)
 	eventually(t, "the stand-in listens", func() bool {
-		connection, err := net.Dial("tcp", d.platform)
+		connection, err := net.Dial("tcp", d.platformAddress)
 		if err != nil {
 			return false
 		}
@@ -98,25 +98,25 @@
 			name:    mothferry.DaemonID(fmt.Sprintf("entry-%d", i+1)),
 			centre:  mothferry.DataCentre(fmt.Sprintf("dc%d", i/perCentre+1)),
 			address: fmt.Sprintf("%s.%d", subnet, 10+i),
-			ended:   make(chan struct{}),
+			exited:  make(chan struct{}),
 		}
 		p.operator = &mfoperate.Client{URL: "http://" + p.address + ":7302", HTTP: d.client}
 		d.processes = append(d.processes, p)
 	}
 	dir := t.TempDir()
 	for _, p := range d.processes {
-		p.settings = filepath.Join(dir, string(p.name)+".yaml")
-		assert.NilError(t, os.WriteFile(p.settings, []byte(d.settings(p)+settings), 0o600))
-		d.launch(t, p)
+		p.settingsFile = filepath.Join(dir, string(p.name)+".yaml")
+		assert.NilError(t, os.WriteFile(p.settingsFile, []byte(d.daemonSettings(p)+settings), 0o600))
+		d.startDaemon(t, p)
 	}
 	return d
 }
 
-func (d *deployment) settings(p *process) string {
+func (d *deployment) daemonSettings(p *process) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "daemon: %s\ndata_centre: %s\n", p.name, p.centre)
 	fmt.Fprintf(&out, "listen: {callers: '%[1]s:7300', peers: '%[1]s:7301', operators: '%[1]s:7302'}\n", p.address)
-	fmt.Fprintf(&out, "platform: {url: 'http://%s', timeout: 1s}\npeers:\n", d.platform)
+	fmt.Fprintf(&out, "platform: {url: 'http://%s', timeout: 1s}\npeers:\n", d.platformAddress)
 	for _, o := range d.processes {
 		if o != p {
 			fmt.Fprintf(&out, "  - {daemon: %s, data_centre: %s, address: '%s:7301'}\n", o.name, o.centre, o.address)
@@ -125,36 +125,36 @@
 	return out.String()
 }
 
-// launch starts a daemon's process, or starts it again.
-func (d *deployment) launch(t testing.TB, p *process) {
+// startDaemon starts a daemon's process, or starts it again.
+func (d *deployment) startDaemon(t testing.TB, p *process) {
 	t.Helper()
-	p.command = d.run(t, string(p.name), "mothferry", "serve", "--settings", p.settings)
+	p.command = d.startProgram(t, string(p.name), "mothferry", "serve", "--settings", p.settingsFile)
 	ended := make(chan struct{})
-	p.ended = ended
+	p.exited = ended
 	command := p.command
 	go func() { _ = command.Wait(); close(ended) }()
 }
 
-// run starts a program and kills it at the end of the test. Its log is shown
+// startProgram starts a program and kills it at the end of the test. Its log is shown
 // if the test failed.
-func (d *deployment) run(t testing.TB, name, program string, arguments ...string) *exec.Cmd {
+func (d *deployment) startProgram(t testing.TB, name, program string, arguments ...string) *exec.Cmd {
 	t.Helper()
 	log, err := os.CreateTemp(t.TempDir(), name)
 	assert.NilError(t, err)
-	command := exec.Command(filepath.Join(binaries, program), arguments...)
+	command := exec.Command(filepath.Join(binaryDir, program), arguments...)
 	command.Stdout, command.Stderr = log, log
 	assert.NilError(t, command.Start())
 	t.Cleanup(func() {
 		_ = command.Process.Kill()
 		if t.Failed() {
 			data, _ := os.ReadFile(log.Name())
-			t.Logf("log of %s:\n%s", name, tail(string(data), 40))
+			t.Logf("log of %s:\n%s", name, lastLines(string(data), 40))
 		}
 	})
 	return command
 }
 
-func tail(text string, lines int) string {
+func lastLines(text string, lines int) string {
 	all := strings.Split(text, "\n")
 	return strings.Join(all[max(len(all)-lines, 0):], "\n")
 }
@@ -169,15 +169,15 @@
 func (p *process) kill(t testing.TB) {
 	t.Helper()
 	p.signal(t, syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
 // eventually asserts that done becomes true.
 func eventually(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("still not so after %s: %s", patience, what)
+			t.Fatalf("still not so after %s: %s", waitTimeout, what)
 		}
 	}
 }
@@ -258,8 +258,8 @@
 	err      error
 }
 
-// answer is what the stand-in's runner says of the request that it ran.
-type answer struct {
+// runnerAnswer is what the stand-in's runner says of the request that it ran.
+type runnerAnswer struct {
 	Request  mothferry.RequestID  `json:"request"`
 	Customer mothferry.CustomerID `json:"customer"`
 	Service  mothferry.ServiceID  `json:"service"`
@@ -269,7 +269,7 @@
 
 // send makes a call at a daemon.
 func (d *deployment) send(ctx context.Context, p *process, c call) result {
-	request, err := http.NewRequestWithContext(ctx, c.method, p.callers()+"/"+string(c.service)+c.path, strings.NewReader(c.body))
+	request, err := http.NewRequestWithContext(ctx, c.method, p.callerURL()+"/"+string(c.service)+c.path, strings.NewReader(c.body))
 	if err != nil {
 		return result{err: err}
 	}
@@ -298,10 +298,10 @@
 	}
 }
 
-// own asserts that an answered call got its own whole answer.
-func own(t *testing.T, c call, r result) {
+// checkOwnAnswer asserts that an answered call got its own whole answer.
+func checkOwnAnswer(t *testing.T, c call, r result) {
 	t.Helper()
-	var a answer
+	var a runnerAnswer
 	assert.NilError(t, json.Unmarshal(r.body, &a), "answer to %s: %q", c.id, r.body)
 	assert.Equal(t, a.Request, c.id)
 	assert.Equal(t, a.Customer, c.customer)
@@ -309,12 +309,12 @@
 	assert.Equal(t, a.BodySize, len(c.body))
 }
 
-// put sets a switch of the stand-in.
-func (d *deployment) put(t testing.TB, path string, value any) {
+// setStandin sets a switch of the stand-in.
+func (d *deployment) setStandin(t testing.TB, path string, value any) {
 	t.Helper()
 	data, err := json.Marshal(value)
 	assert.NilError(t, err)
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+d.platform+"/standin/"+path, strings.NewReader(string(data)))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+d.platformAddress+"/standin/"+path, strings.NewReader(string(data)))
 	assert.NilError(t, err)
 	response, err := d.client.Do(request)
 	assert.NilError(t, err)
@@ -322,10 +322,10 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// get reads a page of the stand-in.
-func get[T any](t testing.TB, d *deployment, path string) T {
+// getStandin reads a page of the stand-in.
+func getStandin[T any](t testing.TB, d *deployment, path string) T {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.platform+"/standin/"+path, nil)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.platformAddress+"/standin/"+path, nil)
 	assert.NilError(t, err)
 	response, err := d.client.Do(request)
 	assert.NilError(t, err)
@@ -335,18 +335,18 @@
 	return value
 }
 
-// journal returns how often each request ran.
-func (d *deployment) journal(t *testing.T) map[mothferry.RequestID]int {
+// runCounts returns how often each request ran.
+func (d *deployment) runCounts(t *testing.T) map[mothferry.RequestID]int {
 	t.Helper()
 	count := map[mothferry.RequestID]int{}
-	for _, r := range get[[]mfstandin.Run](t, d, "journal") {
+	for _, r := range getStandin[[]mfstandin.Run](t, d, "journal") {
 		count[r.Request]++
 	}
 	return count
 }
 
-// placed returns the runners of a service that a daemon has in force.
-func placed(t testing.TB, p *process, service mothferry.ServiceID) []mfplacement.Runner {
+// placedRunners returns the runners of a service that a daemon has in force.
+func placedRunners(t testing.TB, p *process, service mothferry.ServiceID) []mfplacement.Runner {
 	t.Helper()
 	records, err := p.operator.Placements(t.Context())
 	assert.NilError(t, err)
--- a/mfprocess/documents_test.go
+++ b/mfprocess/documents_test.go
@@ -18,13 +18,13 @@
 // force at each of 9 daemons, as each of them says itself, and the bytes
 // between peers for each change and daemon. Run with -benchtime 200x.
 func BenchmarkDocuments(b *testing.B) {
-	d := start(b, 3, "roles: {entry: false}\n")
+	d := startDeployment(b, 3, "roles: {entry: false}\n")
 	d.apply(b, "kelani")
 	documents, err := mfexample.Documents("kelani")
 	assert.NilError(b, err)
-	quiet := d.peerBytes(b, 3*time.Second)
+	quiet := d.idlePeerRate(b, 3*time.Second)
 	var took []time.Duration
-	before, began := d.peerTotal(b), time.Now()
+	before, began := d.peerBytesSent(b), time.Now()
 	for i := range b.N {
 		k := documents[i%len(documents)]
 		k.Requests.Deadline += time.Duration(1+i) * time.Millisecond
@@ -52,7 +52,7 @@
 		group.Wait()
 		took = append(took, time.Since(start))
 	}
-	changes := (d.peerTotal(b) - before) - quiet*time.Since(began).Seconds()
+	changes := (d.peerBytesSent(b) - before) - quiet*time.Since(began).Seconds()
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
 	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
@@ -73,21 +73,21 @@
 	b.ReportMetric(float64(time.Since(resumed).Milliseconds()), "after-pause-ms")
 }
 
-// peerTotal returns the bytes that all daemons sent to peers so far.
-func (d *deployment) peerTotal(b *testing.B) float64 {
+// peerBytesSent returns the bytes that all daemons sent to peers so far.
+func (d *deployment) peerBytesSent(b *testing.B) float64 {
 	b.Helper()
 	sum := 0.0
 	for _, p := range d.processes {
-		sum += d.metric(b, p, "mothferry_peer_sent_bytes_total")
+		sum += d.sumMetrics(b, p, "mothferry_peer_sent_bytes_total")
 	}
 	return sum
 }
 
-// peerBytes returns the bytes a second that all daemons send to peers while
+// idlePeerRate returns the bytes a second that all daemons send to peers while
 // nothing changes.
-func (d *deployment) peerBytes(b *testing.B, span time.Duration) float64 {
+func (d *deployment) idlePeerRate(b *testing.B, span time.Duration) float64 {
 	b.Helper()
-	before := d.peerTotal(b)
+	before := d.peerBytesSent(b)
 	time.Sleep(span)
-	return (d.peerTotal(b) - before) / span.Seconds()
+	return (d.peerBytesSent(b) - before) / span.Seconds()
 }
--- a/mfprocess/failure_test.go
+++ b/mfprocess/failure_test.go
@@ -19,8 +19,8 @@
 	"mothferry/mfstandin"
 )
 
-// sent is one call and what its caller saw, as the history holds it.
-type sent struct {
+// recordedCall is one call and what its caller saw, as the history holds it.
+type recordedCall struct {
 	call   call
 	result result
 }
@@ -28,13 +28,13 @@
 // history gathers what callers did.
 type history struct {
 	mutex sync.Mutex
-	sent  []sent
+	calls []recordedCall
 }
 
 func (h *history) add(c call, r result) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.sent = append(h.sent, sent{c, r})
+	h.calls = append(h.calls, recordedCall{c, r})
 }
 
 // check compares the callers' history with the runners' journal, and returns how
@@ -49,7 +49,7 @@
 		}
 	}
 	ends, answers := map[mothferry.End]int{}, map[string]string{}
-	for _, s := range h.sent {
+	for _, s := range h.calls {
 		ends[s.result.end]++
 		ran := byID[s.call.id]
 		assert.Check(t, ran <= 1, "%s ran %d times", s.call.id, ran)
@@ -63,7 +63,7 @@
 		case mothferry.EndAnswered:
 			if s.call.key == "" {
 				assert.Check(t, ran == 1, "%s was answered and ran %d times", s.call.id, ran)
-				own(t, s.call, s.result)
+				checkOwnAnswer(t, s.call, s.result)
 				continue
 			}
 			first, ok := answers[s.call.key]
@@ -77,7 +77,7 @@
 	for key := range answers {
 		assert.Check(t, byKey[key] == 1, "key %s was answered and ran %d times", key, byKey[key])
 	}
-	t.Logf("%d calls, ends %v, %d keys ran, %d keys answered", len(h.sent), ends, len(byKey), len(answers))
+	t.Logf("%d calls, ends %v, %d keys ran, %d keys answered", len(h.calls), ends, len(byKey), len(answers))
 	return ends[mothferry.EndAnswered]
 }
 
@@ -86,7 +86,7 @@
 // runners and daemons are killed and frozen, runners cut or drop answers after
 // they ran the request, and the table is down, slow, or loses replies.
 func TestAtMostOnceUnderFailure(t *testing.T) {
-	d := start(t, 2, "timing: {unready: 100ms}\n")
+	d := startDeployment(t, 2, "timing: {unready: 100ms}\n")
 	services := d.apply(t, "stoisk")
 	var h history
 	ctx, stop := context.WithCancel(t.Context())
@@ -105,20 +105,20 @@
 					continue
 				}
 				c.key = fmt.Sprintf("key-%d-%d", w, i)
-				d.repeat(t.Context(), &h, c, random)
+				d.sendRepeatedly(t.Context(), &h, c, random)
 			}
 		})
 	}
-	d.failures(t, services)
+	d.injectFaults(t, services)
 	stop()
 	callers.Wait()
-	answered := h.check(t, get[[]mfstandin.Run](t, d, "journal"))
-	assert.Check(t, answered > len(h.sent)/4, "too few answers for the test to mean anything")
+	answered := h.check(t, getStandin[[]mfstandin.Run](t, d, "journal"))
+	assert.Check(t, answered > len(h.calls)/4, "too few answers for the test to mean anything")
 }
 
-// repeat sends a keyed call at two daemons at once and then until it has an
+// sendRepeatedly sends a keyed call at two daemons at once and then until it has an
 // answer, a few times.
-func (d *deployment) repeat(ctx context.Context, h *history, c call, random *rand.Rand) {
+func (d *deployment) sendRepeatedly(ctx context.Context, h *history, c call, random *rand.Rand) {
 	var group sync.WaitGroup
 	for n := range 2 {
 		p := d.processes[random.IntN(len(d.processes))]
@@ -138,14 +138,14 @@
 	}
 }
 
-// failures brings about one fault after the other under the callers' load.
-func (d *deployment) failures(t *testing.T, services []mothferry.ServiceID) {
+// injectFaults brings about one fault after the other under the callers' load.
+func (d *deployment) injectFaults(t *testing.T, services []mothferry.ServiceID) {
 	t.Helper()
 	pause := func() { time.Sleep(400 * time.Millisecond) }
 	runner := func(service mothferry.ServiceID, f mfstandin.RunnerFaults) {
-		for _, r := range get[[]mfstandin.RunnerStatus](t, d, "runners") {
+		for _, r := range getStandin[[]mfstandin.RunnerStatus](t, d, "runners") {
 			if r.Service == service {
-				d.put(t, "runners/"+string(r.Runner), f)
+				d.setStandin(t, "runners/"+string(r.Runner), f)
 				return
 			}
 		}
@@ -159,32 +159,32 @@
 	killed, frozen := d.processes[0], d.processes[3]
 	killed.kill(t)
 	frozen.signal(t, syscall.SIGSTOP)
-	d.put(t, "faults", mfstandin.Faults{LoseReplies: 20})
+	d.setStandin(t, "faults", mfstandin.Faults{LoseReplies: 20})
 	pause()
 	pause()
-	d.launch(t, killed)
+	d.startDaemon(t, killed)
 	pause()
 	frozen.signal(t, syscall.SIGCONT)
-	d.put(t, "faults", mfstandin.Faults{Down: true})
+	d.setStandin(t, "faults", mfstandin.Faults{Down: true})
 	pause()
-	d.put(t, "faults", mfstandin.Faults{Delay: 50 * time.Millisecond, LoseReplies: 20})
+	d.setStandin(t, "faults", mfstandin.Faults{Delay: 50 * time.Millisecond, LoseReplies: 20})
 	pause()
-	d.put(t, "faults", mfstandin.Faults{})
+	d.setStandin(t, "faults", mfstandin.Faults{})
 	pause()
 }
 
-// TestCutOff takes the platform away, then a data centre's runners, then the
+// TestServesWhenPartitioned takes the platform away, then a data centre's runners, then the
 // other data centres. What can be served is served; the rest is refused at
 // once and told when to come back.
-func TestCutOff(t *testing.T) {
-	d := start(t, 2, "")
+func TestServesWhenPartitioned(t *testing.T) {
+	d := startDeployment(t, 2, "")
 	d.apply(t, "stoisk")
 	p := d.processes[0]
-	d.put(t, "faults", mfstandin.Faults{Down: true})
+	d.setStandin(t, "faults", mfstandin.Faults{Down: true})
 	plain := call{method: http.MethodPost, service: "stands", path: "/orders", customer: "c", id: "plain", body: "x"}
 	r := d.send(t.Context(), p, plain)
 	assert.Equal(t, r.end, mothferry.EndAnswered, "%s", r.body)
-	own(t, plain, r)
+	checkOwnAnswer(t, plain, r)
 	keyed := call{method: http.MethodPost, service: "stands", path: "/orders", customer: "c", id: "keyed", key: "k", body: "x"}
 	r = d.send(t.Context(), p, keyed)
 	assert.Equal(t, r.end, mothferry.EndNotRun, "%s", r.body)
@@ -194,15 +194,15 @@
 	r = d.send(t.Context(), p, read)
 	assert.Equal(t, r.end, mothferry.EndAnswered, "%s", r.body)
 
-	for _, k := range placed(t, p, "stands") {
-		d.put(t, "runners/"+string(k.Task), mfstandin.RunnerFaults{Dead: true})
+	for _, k := range placedRunners(t, p, "stands") {
+		d.setStandin(t, "runners/"+string(k.Task), mfstandin.RunnerFaults{Dead: true})
 	}
 	// Each attempt is a request of its own: one whose end is unknown, such as the
 	// first over a connection to a runner that has just died, may have run, and
 	// its caller may not send it again.
 	h := &history{}
 	attempt := func(name, path string) result {
-		c := call{method: http.MethodPost, service: "stands", path: path, customer: "c", id: mothferry.RequestID(fmt.Sprint(name, len(h.sent))), body: "x"}
+		c := call{method: http.MethodPost, service: "stands", path: path, customer: "c", id: mothferry.RequestID(fmt.Sprint(name, len(h.calls))), body: "x"}
 		r := d.send(t.Context(), p, c)
 		h.add(c, r)
 		t.Logf("%s ended as %s %s", c.id, r.end, r.reason)
@@ -223,17 +223,17 @@
 		r = attempt("refused-", "/orders")
 		return r.end == mothferry.EndNotRun
 	})
-	assert.Assert(t, h.check(t, get[[]mfstandin.Run](t, d, "journal")) > 0)
+	assert.Assert(t, h.check(t, getStandin[[]mfstandin.Run](t, d, "journal")) > 0)
 }
 
-// TestLeavingGetsNoNewWork: a document asks for fewer runners, so some leave.
+// TestLeavingRunnersGetNoNewRequests: a document asks for fewer runners, so some leave.
 // They have slow requests in flight, which must end whole, while the host list
 // lags, the platform goes out, a daemon is frozen through it all and resumes,
 // and another one joins. After the bound no runner that leaves gets new work.
-func TestLeavingGetsNoNewWork(t *testing.T) {
+func TestLeavingRunnersGetNoNewRequests(t *testing.T) {
 	const bound = 3 * time.Second
-	d := start(t, 3, "")
-	d.put(t, "faults", mfstandin.Faults{ListLag: time.Hour})
+	d := startDeployment(t, 3, "")
+	d.setStandin(t, "faults", mfstandin.Faults{ListLag: time.Hour})
 	d.apply(t, "stoisk")
 	joining, frozen := d.processes[1], d.processes[2]
 	joining.kill(t)
@@ -245,12 +245,12 @@
 			assert.Check(t, r.end == mothferry.EndAnswered, "cut off: %s %s %v", r.end, r.reason, r.err)
 		})
 	}
-	eventually(t, "slow requests run", func() bool { return len(d.journal(t)) == 12 })
+	eventually(t, "slow requests run", func() bool { return len(d.runCounts(t)) == 12 })
 	frozen.signal(t, syscall.SIGSTOP)
-	base := d.shrink(t, "stoisk", "payments", 3)
+	base := d.setRunnerCount(t, "stoisk", "payments", 3)
 	leaving := map[mothferry.TaskID]bool{}
 	eventually(t, "runners leave", func() bool {
-		for _, k := range placed(t, d.processes[0], "payments") {
+		for _, k := range placedRunners(t, d.processes[0], "payments") {
 			if k.State == mfplacement.StateLeaving || k.State == mfplacement.StateStopping {
 				leaving[k.Task] = true
 			}
@@ -258,8 +258,8 @@
 		return len(leaving) == 3
 	})
 	since := time.Now()
-	d.put(t, "faults", mfstandin.Faults{Down: true, ListLag: time.Hour})
-	d.launch(t, joining)
+	d.setStandin(t, "faults", mfstandin.Faults{Down: true, ListLag: time.Hour})
+	d.startDaemon(t, joining)
 	time.Sleep(bound + 200*time.Millisecond)
 	frozen.signal(t, syscall.SIGCONT)
 	d.awaitRevision(t, base, []*process{joining})
@@ -275,7 +275,7 @@
 	}
 	group.Wait()
 	late, after := 0, 0
-	for _, r := range get[[]mfstandin.Run](t, d, "journal") {
+	for _, r := range getStandin[[]mfstandin.Run](t, d, "journal") {
 		if r.Time.After(since.Add(bound)) {
 			after++
 			if leaving[r.Runner] {
@@ -289,9 +289,9 @@
 	assert.Equal(t, late, 0, "new work at leaving runners after the bound")
 }
 
-// shrink changes the number of a service's runners and returns the revision
+// setRunnerCount changes the number of a service's runners and returns the revision
 // that was edited.
-func (d *deployment) shrink(t *testing.T, team string, service mothferry.ServiceID, runners int) mothferry.Revision {
+func (d *deployment) setRunnerCount(t *testing.T, team string, service mothferry.ServiceID, runners int) mothferry.Revision {
 	t.Helper()
 	documents, err := mfexample.Documents(team)
 	assert.NilError(t, err)
@@ -310,14 +310,14 @@
 	return 0
 }
 
-// TestRunnersStopEmpty: symptom, requests are cut off when a document asks for
+// TestRunnersStopOnlyWhenIdle: symptom, requests are cut off when a document asks for
 // fewer runners. Sequence: the holder asks the workers to stop runners at once,
 // while entry hosts still have requests there, and the workers are abrupt.
 // Cause: a stop that does not wait for every entry host to be done.
-func TestRunnersStopEmpty(t *testing.T) {
-	d := start(t, 2, "")
+func TestRunnersStopOnlyWhenIdle(t *testing.T) {
+	d := startDeployment(t, 2, "")
 	d.apply(t, "stoisk")
-	d.put(t, "faults", mfstandin.Faults{AbruptStop: true})
+	d.setStandin(t, "faults", mfstandin.Faults{AbruptStop: true})
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	for w := range 24 {
@@ -329,11 +329,11 @@
 			}
 		})
 	}
-	eventually(t, "requests run", func() bool { return len(d.journal(t)) >= 48 })
-	d.shrink(t, "stoisk", "payments", 3)
+	eventually(t, "requests run", func() bool { return len(d.runCounts(t)) >= 48 })
+	d.setRunnerCount(t, "stoisk", "payments", 3)
 	eventually(t, "runners are gone", func() bool {
 		count := 0
-		for _, r := range get[[]mfstandin.RunnerStatus](t, d, "runners") {
+		for _, r := range getStandin[[]mfstandin.RunnerStatus](t, d, "runners") {
 			if r.Service == "payments" {
 				count++
 			}
@@ -344,10 +344,10 @@
 	group.Wait()
 }
 
-// TestRunnerDies kills a runner under load: of the requests that may be
+// TestRunnerCrashUnderLoad kills a runner under load: of the requests that may be
 // repeated none is lost, of the others only those that it was working on.
-func TestRunnerDies(t *testing.T) {
-	d := start(t, 2, "")
+func TestRunnerCrashUnderLoad(t *testing.T) {
+	d := startDeployment(t, 2, "")
 	d.apply(t, "kelani")
 	ctx, stop := context.WithCancel(t.Context())
 	var mutex sync.Mutex
@@ -366,9 +366,9 @@
 			}
 		})
 	}
-	eventually(t, "requests run", func() bool { return len(d.journal(t)) >= 100 })
-	victim := placed(t, d.processes[0], "quoting")[0]
-	d.put(t, "runners/"+string(victim.Task), mfstandin.RunnerFaults{Dead: true})
+	eventually(t, "requests run", func() bool { return len(d.runCounts(t)) >= 100 })
+	victim := placedRunners(t, d.processes[0], "quoting")[0]
+	d.setStandin(t, "runners/"+string(victim.Task), mfstandin.RunnerFaults{Dead: true})
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	group.Wait()
@@ -378,51 +378,51 @@
 	assert.Assert(t, lost["POST unknown"] <= int(victim.Slots), "%v", lost)
 }
 
-// TestPlannedStop stops a daemon and shrinks a service while slow requests and
+// TestGracefulStopUnderLoad stops a daemon and shrinks a service while slow requests and
 // kept-alive connections are in use: nothing in flight is cut off, and the
 // runner is told to stop only when nothing is left there.
-func TestPlannedStop(t *testing.T) {
-	d := start(t, 2, "timing: {unready: 300ms}\n")
+func TestGracefulStopUnderLoad(t *testing.T) {
+	d := startDeployment(t, 2, "timing: {unready: 300ms}\n")
 	d.apply(t, "kelani")
 	leaving := d.processes[0]
 	var group sync.WaitGroup
 	for w := range 8 {
 		group.Go(func() {
-			client := &deployment{client: &http.Client{Timeout: patience}}
+			client := &deployment{client: &http.Client{Timeout: waitTimeout}}
 			for i := range 6 {
 				c := call{method: http.MethodPost, service: "test-pressings", path: "/orders?work=300ms&size=100000", customer: mothferry.CustomerID(fmt.Sprint("c", w)), id: mothferry.RequestID(fmt.Sprint("r-", w, "-", i)), body: "x"}
 				r := client.send(t.Context(), leaving, c)
 				if r.err != nil {
 					// Refused connections are the balancer's to avoid; a request
 					// whose connection was open must have been answered.
-					assert.Check(t, d.journal(t)[c.id] == 0, "%s was cut off: %v", c.id, r.err)
+					assert.Check(t, d.runCounts(t)[c.id] == 0, "%s was cut off: %v", c.id, r.err)
 					return
 				}
 				assert.Check(t, r.end == mothferry.EndAnswered, "%s: %s %s", c.id, r.end, r.reason)
 			}
 		})
 	}
-	eventually(t, "requests run", func() bool { return len(d.journal(t)) >= 8 })
+	eventually(t, "requests run", func() bool { return len(d.runCounts(t)) >= 8 })
 	leaving.signal(t, syscall.SIGTERM)
 	group.Wait()
-	<-leaving.ended
+	<-leaving.exited
 	assert.Equal(t, leaving.command.ProcessState.ExitCode(), 0)
 }
 
-// TestSecondSignalEndsAtOnce: a second SIGTERM ends a daemon without waiting.
-func TestSecondSignalEndsAtOnce(t *testing.T) {
-	d := start(t, 1, "")
+// TestSecondSignalExitsImmediately: a second SIGTERM ends a daemon without waiting.
+func TestSecondSignalExitsImmediately(t *testing.T) {
+	d := startDeployment(t, 1, "")
 	d.apply(t, "kelani")
 	p := d.processes[0]
 	done := make(chan result)
 	go func() {
 		done <- d.send(t.Context(), p, call{method: http.MethodPost, service: "back-office", path: "/export?work=20s", customer: "c", id: "long", body: "x"})
 	}()
-	eventually(t, "request runs", func() bool { return d.journal(t)["long"] == 1 })
+	eventually(t, "request runs", func() bool { return d.runCounts(t)["long"] == 1 })
 	p.signal(t, syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	p.signal(t, syscall.SIGTERM)
-	<-p.ended
+	<-p.exited
 	assert.Assert(t, p.command.ProcessState.ExitCode() != 0)
 	assert.Assert(t, (<-done).err != nil)
 }
--- a/mfprocess/load_test.go
+++ b/mfprocess/load_test.go
@@ -17,11 +17,11 @@
 	"mothferry/mfstandin"
 )
 
-// load sends requests from a number of callers, each on a connection of its
+// generateLoad sends requests from a number of callers, each on a connection of its
 // own, and returns how many were answered a second and their percentiles. It
 // writes and reads HTTP by hand: net/http's client would take more of the
 // machine than the daemon under test.
-func load(b *testing.B, callers, total int, address, path string) (rate float64, p50, p99 time.Duration, failed int) {
+func generateLoad(b *testing.B, callers, total int, address, path string) (rate float64, p50, p99 time.Duration, failed int) {
 	b.Helper()
 	var mutex sync.Mutex
 	var took []time.Duration
@@ -29,7 +29,7 @@
 	began := time.Now()
 	for c := range callers {
 		group.Go(func() {
-			own, bad, err := oneCaller(total/callers, address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: x\r\n%s: c%d\r\n\r\n", path, mothferry.HeaderCustomer, c))
+			own, bad, err := runCaller(total/callers, address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: x\r\n%s: c%d\r\n\r\n", path, mothferry.HeaderCustomer, c))
 			if err != nil {
 				b.Error(err)
 			}
@@ -45,7 +45,7 @@
 	return float64(len(took)) / span.Seconds(), took[len(took)/2], took[len(took)*99/100], failed
 }
 
-func oneCaller(count int, address, request string) (took []time.Duration, bad int, err error) {
+func runCaller(count int, address, request string) (took []time.Duration, bad int, err error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, 0, err
@@ -57,7 +57,7 @@
 		if _, err := connection.Write([]byte(request)); err != nil {
 			return took, bad, err
 		}
-		ok, err := readAnswer(reader)
+		ok, err := readResponse(reader)
 		if err != nil {
 			return took, bad, err
 		}
@@ -69,8 +69,8 @@
 	return took, bad, nil
 }
 
-// readAnswer reads one answer with a Content-Length and reports whether it was a 200.
-func readAnswer(r *bufio.Reader) (ok bool, err error) {
+// readResponse reads one answer with a Content-Length and reports whether it was a 200.
+func readResponse(r *bufio.Reader) (ok bool, err error) {
 	length := 0
 	for first := true; ; first = false {
 		line, err := r.ReadSlice('\n')
@@ -97,10 +97,10 @@
 // BenchmarkThroughDaemon compares requests through one daemon with direct
 // calls to a runner, in the same run.
 func BenchmarkThroughDaemon(b *testing.B) {
-	d := start(b, 1, "")
+	d := startDeployment(b, 1, "")
 	d.apply(b, "kelani")
 	runner := ""
-	for _, r := range get[[]mfstandin.RunnerStatus](b, d, "runners") {
+	for _, r := range getStandin[[]mfstandin.RunnerStatus](b, d, "runners") {
 		if r.Service == "quoting" {
 			runner = r.Address
 		}
@@ -114,7 +114,7 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("callers=%d/%s", callers, k.name), func(b *testing.B) {
-				rate, p50, p99, failed := load(b, callers, max(b.N, callers), k.address, k.path)
+				rate, p50, p99, failed := generateLoad(b, callers, max(b.N, callers), k.address, k.path)
 				b.ReportMetric(rate, "requests/s")
 				b.ReportMetric(float64(p50.Microseconds()), "p50-us")
 				b.ReportMetric(float64(p99.Microseconds()), "p99-us")
@@ -140,20 +140,20 @@
 		{"130%-60-30-10", 1.3, []float64{0.6, 0.3, 0.1}, false},
 		{"130%-one-customer-tenfold", 1.3, []float64{1. / 3, 1. / 3, 1. / 3}, true},
 	} {
-		b.Run(k.name, func(b *testing.B) { overload(b, k.share, k.split, k.noisy) })
+		b.Run(k.name, func(b *testing.B) { measureOverload(b, k.share, k.split, k.noisy) })
 	}
 }
 
-func overload(b *testing.B, share float64, split []float64, noisy bool) {
+func measureOverload(b *testing.B, share float64, split []float64, noisy bool) {
 	const (
 		work     = 50 * time.Millisecond
 		deadline = 500 * time.Millisecond
 		span     = 8 * time.Second
 		warm     = 2 * time.Second
 	)
-	d := start(b, 3, "")
+	d := startDeployment(b, 3, "")
 	d.apply(b, "stoisk")
-	runners := len(placed(b, d.processes[0], "payments"))
+	runners := len(placedRunners(b, d.processes[0], "payments"))
 	capacity := float64(runners*8) / work.Seconds()
 	random := rand.New(rand.NewPCG(3, 5))
 	var mutex sync.Mutex
@@ -199,7 +199,7 @@
 	group.Wait()
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
 	refused, mostInFlight, mostConnections, ran := 0, 0, 0, 0
-	for _, r := range get[[]mfstandin.RunnerStatus](b, d, "runners") {
+	for _, r := range getStandin[[]mfstandin.RunnerStatus](b, d, "runners") {
 		if r.Service == "payments" && r.Ran > 0 {
 			refused, ran = refused+r.Refused, ran+r.Ran
 			mostInFlight, mostConnections = max(mostInFlight, r.MostInFlight), max(mostConnections, r.MostConnection)
--- a/mfprocess/pool_test.go
+++ b/mfprocess/pool_test.go
@@ -19,10 +19,10 @@
 // table loses replies. No request is cut off, the host ends in the pool of the
 // operator who was first, and nothing of the old pool is left there.
 func TestPoolMove(t *testing.T) {
-	d := startWith(t, 3, "", "--hosts", "8", "--pools", "general,spare,third")
+	d := startDeploymentWith(t, 3, "", "--hosts", "8", "--pools", "general,spare,third")
 	d.apply(t, "stoisk")
 	near := d.processes[:3]
-	victim := placed(t, near[0], "stands")[0].Host
+	victim := placedRunners(t, near[0], "stands")[0].Host
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	for w := range 8 {
@@ -38,8 +38,8 @@
 	assert.NilError(t, err)
 	_, err = near[1].operator.Move(t.Context(), "dc1", victim, "third", "ben")
 	assert.ErrorContains(t, err, "already moving to pool spare, as ann asked")
-	d.put(t, "faults", mfstandin.Faults{LoseReplies: 6})
-	old := holder(t, near)
+	d.setStandin(t, "faults", mfstandin.Faults{LoseReplies: 6})
+	old := shardHolder(t, near)
 	if old != nil {
 		old.kill(t)
 	}
@@ -53,7 +53,7 @@
 	if old != nil {
 		// Until the killed daemon is heard again, runners that leave wait for
 		// the longest deadline that its requests could have had.
-		d.launch(t, old)
+		d.startDaemon(t, old)
 	}
 	var record mfhost.Record
 	eventually(t, "host is in its new pool", func() bool {
--- a/mfprocess/whole_test.go
+++ b/mfprocess/whole_test.go
@@ -12,12 +12,12 @@
 	"mothferry"
 )
 
-// TestWholePath serves both users' services from separate processes and
+// TestEndToEnd serves both users' services from separate processes and
 // checks that each caller gets the whole answer to its own request.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	for _, team := range []string{"kelani", "stoisk"} {
 		t.Run(team, func(t *testing.T) {
-			d := start(t, 2, "")
+			d := startDeployment(t, 2, "")
 			services := d.apply(t, team)
 			assert.Equal(t, len(services), 5)
 			var group sync.WaitGroup
@@ -35,13 +35,13 @@
 						assert.Check(t, r.err)
 						assert.Check(t, r.end == mothferry.EndAnswered, "%s: %s %s %s", c.id, r.end, r.reason, r.body)
 						if r.end == mothferry.EndAnswered {
-							own(t, c, r)
+							checkOwnAnswer(t, c, r)
 						}
 					})
 				}
 			}
 			group.Wait()
-			for id, n := range d.journal(t) {
+			for id, n := range d.runCounts(t) {
 				assert.Check(t, n == 1, "%s ran %d times", id, n)
 			}
 			// A connection that never carried a request would keep the daemons
@@ -51,22 +51,22 @@
 				p.signal(t, syscall.SIGTERM)
 			}
 			for _, p := range d.processes {
-				<-p.ended
+				<-p.exited
 				assert.Check(t, p.command.ProcessState.ExitCode() == 0, "%s: %s", p.name, p.command.ProcessState)
 			}
 		})
 	}
 }
 
-// TestDaemonStartsWhilePlatformIsOut shows that a daemon which starts while
+// TestDaemonStartsDuringPlatformOutage shows that a daemon which starts while
 // the platform is out takes the documents that its peers hold, and serves.
-func TestDaemonStartsWhilePlatformIsOut(t *testing.T) {
-	d := start(t, 2, "")
+func TestDaemonStartsDuringPlatformOutage(t *testing.T) {
+	d := startDeployment(t, 2, "")
 	d.apply(t, "kelani")
 	late := d.processes[0]
 	late.kill(t)
-	d.put(t, "faults", map[string]any{"down": true})
-	d.launch(t, late)
+	d.setStandin(t, "faults", map[string]any{"down": true})
+	d.startDaemon(t, late)
 	d.awaitServing(t, []*process{late})
 	s, err := late.operator.Status(t.Context())
 	assert.NilError(t, err)
@@ -74,5 +74,5 @@
 	c := call{method: http.MethodPost, service: "quoting", path: "/orders", customer: "c", id: "late-1", body: "x"}
 	r := d.send(t.Context(), late, c)
 	assert.Equal(t, r.end, mothferry.EndAnswered, "%s", r.body)
-	own(t, c, r)
+	checkOwnAnswer(t, c, r)
 }
