--- a/mfcommand/command.go
+++ b/mfcommand/command.go
@@ -205,7 +205,7 @@
 	var invalid *mfyaml.ErrInvalid
 	var unreachable *mfoperate.ErrUnreachable
 	var refused *mfoperate.ErrRefused
-	var silent *mfreport.ErrNoHost
+	var silent *mfreport.ErrNoHostAnswered
 	switch {
 	case err == nil:
 		return exitOK
--- a/mfcommand/load.go
+++ b/mfcommand/load.go
@@ -57,7 +57,7 @@
 				if err != nil {
 					return err
 				}
-				report := mfreport.Of(read, missing, *top).Only(sections)
+				report := mfreport.New(read, missing, *top).WithSections(sections)
 				if *output == outputJSON {
 					return trace.Wrap(json.NewEncoder(e.Out).Encode(report))
 				}
@@ -69,7 +69,7 @@
 
 // fetchInterval reads the hosts' metrics, twice if there is an interval: counters are
 // those of the interval then, and a host that missed either reading is missing.
-func fetchInterval(ctx context.Context, e *Environment, f *mfreport.Fetcher, addresses []mfreport.Address, over time.Duration) ([]mfreport.Host, []mfreport.Missing, error) {
+func fetchInterval(ctx context.Context, e *Environment, f *mfreport.Fetcher, addresses []mfreport.Address, over time.Duration) ([]mfreport.Host, []mfreport.MissingHost, error) {
 	before, missing, err := f.Fetch(ctx, addresses)
 	if err != nil || over == 0 {
 		return before, missing, err
@@ -85,7 +85,7 @@
 	}
 	after, lost, err := f.Fetch(ctx, answered)
 	for i, h := range after {
-		after[i].Metrics = h.Metrics.Since(earlier[h.Address])
+		after[i].Metrics = h.Metrics.Delta(earlier[h.Address])
 	}
 	return after, append(missing, lost...), err
 }
--- a/mfreport/counts.go
+++ b/mfreport/counts.go
@@ -4,7 +4,7 @@
 
 // Counts are jobs that were handed in, by outcome, and jobs that ended, by end.
 type Counts struct {
-	Asked        int64 `json:"asked"`
+	Submitted    int64 `json:"asked"`
 	Accepted     int64 `json:"accepted"`
 	RefusedShare int64 `json:"refused_share"`
 	RefusedLimit int64 `json:"refused_limit"`
@@ -13,7 +13,7 @@
 	Unknown      int64 `json:"unknown"`
 	// Other counts outcomes that this version does not know.
 	Other     int64 `json:"other"`
-	InTime    int64 `json:"in_time"`
+	OnTime    int64 `json:"in_time"`
 	Late      int64 `json:"late"`
 	TooLate   int64 `json:"too_late"`
 	Failed    int64 `json:"failed"`
@@ -28,7 +28,7 @@
 }
 
 func (c *Counts) add(o Counts) {
-	c.Asked += o.Asked
+	c.Submitted += o.Submitted
 	c.Accepted += o.Accepted
 	c.RefusedShare += o.RefusedShare
 	c.RefusedLimit += o.RefusedLimit
@@ -36,7 +36,7 @@
 	c.RefusedStore += o.RefusedStore
 	c.Unknown += o.Unknown
 	c.Other += o.Other
-	c.InTime += o.InTime
+	c.OnTime += o.OnTime
 	c.Late += o.Late
 	c.TooLate += o.TooLate
 	c.Failed += o.Failed
@@ -45,7 +45,7 @@
 }
 
 func (c *Counts) countOutcome(outcome string, n int64) {
-	c.Asked += n
+	c.Submitted += n
 	switch outcome {
 	case "accepted":
 		c.Accepted += n
@@ -67,7 +67,7 @@
 func (c *Counts) countEnd(end string, n int64) {
 	switch end {
 	case "in_time":
-		c.InTime += n
+		c.OnTime += n
 	case "late":
 		c.Late += n
 	case "too_late":
@@ -83,5 +83,5 @@
 
 // compareCounts puts the most refused first, then the most asked.
 func compareCounts(a, b Counts) int {
-	return cmp.Or(cmp.Compare(b.Refused(), a.Refused()), cmp.Compare(b.Asked, a.Asked))
+	return cmp.Or(cmp.Compare(b.Refused(), a.Refused()), cmp.Compare(b.Submitted, a.Submitted))
 }
--- a/mfreport/fetch.go
+++ b/mfreport/fetch.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// largestText bounds what is read of one host's metrics.
-	largestText = 16 << 20
-	// fetchers bounds how many hosts are asked at a time.
-	fetchers = 32
+	// maxMetricsBytes bounds what is read of one host's metrics.
+	maxMetricsBytes = 16 << 20
+	// maxParallelFetches bounds how many hosts are asked at a time.
+	maxParallelFetches = 32
 )
 
 // Address is where a host serves its metrics: HOST:PORT, or a whole URL.
@@ -37,17 +37,17 @@
 	Metrics Metrics
 }
 
-// Missing is a host whose metrics could not be had, and why.
-type Missing struct {
+// MissingHost is a host whose metrics could not be had, and why.
+type MissingHost struct {
 	Host   Address `json:"host"`
 	Reason string  `json:"reason"`
 }
 
-// ErrNoHost reports that no host told its metrics.
-type ErrNoHost struct{ Missing []Missing }
+// ErrNoHostAnswered reports that no host told its metrics.
+type ErrNoHostAnswered struct{ Missing []MissingHost }
 
 // Error implements error.
-func (e *ErrNoHost) Error() string {
+func (e *ErrNoHostAnswered) Error() string {
 	var each []string
 	for _, m := range e.Missing {
 		each = append(each, fmt.Sprintf("%s: %s", m.Host, m.Reason))
@@ -64,10 +64,10 @@
 
 // Fetch asks all hosts and returns those that answered, in the order given, and
 // those that did not. Its error is an *ErrNoHost.
-func (f *Fetcher) Fetch(ctx context.Context, addresses []Address) ([]Host, []Missing, error) {
+func (f *Fetcher) Fetch(ctx context.Context, addresses []Address) ([]Host, []MissingHost, error) {
 	metrics, failures := make([]Metrics, len(addresses)), make([]error, len(addresses))
 	var group errgroup.Group
-	group.SetLimit(fetchers)
+	group.SetLimit(maxParallelFetches)
 	for i, a := range addresses {
 		group.Go(func() error {
 			metrics[i], failures[i] = f.fetch(ctx, a)
@@ -76,16 +76,16 @@
 	}
 	_ = group.Wait()
 	var hosts []Host
-	var missing []Missing
+	var missing []MissingHost
 	for i, a := range addresses {
 		if failures[i] != nil {
-			missing = append(missing, Missing{Host: a, Reason: failures[i].Error()})
+			missing = append(missing, MissingHost{Host: a, Reason: failures[i].Error()})
 			continue
 		}
 		hosts = append(hosts, Host{Address: a, Metrics: metrics[i]})
 	}
 	if len(hosts) == 0 {
-		return nil, missing, &ErrNoHost{Missing: missing}
+		return nil, missing, &ErrNoHostAnswered{Missing: missing}
 	}
 	return hosts, missing, nil
 }
@@ -105,12 +105,12 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, trace.Errorf("answers with status %d", response.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, largestText+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxMetricsBytes+1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(text) > largestText {
-		return nil, &ErrBadMetrics{Detail: fmt.Sprintf("text is longer than %d bytes", largestText)}
+	if len(text) > maxMetricsBytes {
+		return nil, &ErrBadMetrics{Detail: fmt.Sprintf("text is longer than %d bytes", maxMetricsBytes)}
 	}
 	return Parse(bytes.NewReader(text))
 }
--- a/mfreport/fetch_test.go
+++ b/mfreport/fetch_test.go
@@ -24,11 +24,11 @@
 
 // A host that hangs, one that is gone, one with bad metrics and one that sends
 // without end keep the others' figures from the operator.
-func TestHostsThatFailAreNamed(t *testing.T) {
+func TestFailedHostsAreReported(t *testing.T) {
 	over := make(chan struct{})
 	good := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, r.URL.Path, "/metrics")
-		fmt.Fprint(w, owningHost)
+		fmt.Fprint(w, ownerMetrics)
 	})
 	hangs := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "mothferry_owning 1\n")
@@ -65,15 +65,15 @@
 		assert.Assert(t, strings.Contains(missing[i].Reason, want.says), missing[i].Reason)
 	}
 	_, _, err = f.Fetch(t.Context(), []Address{gone})
-	var none *ErrNoHost
+	var none *ErrNoHostAnswered
 	assert.Assert(t, errors.As(err, &none))
 	assert.Equal(t, none.Missing[0].Host, gone)
 }
 
 // A label with quotes, or an answer that the library compresses, is read as something else.
-func TestFetchReadsWhatTheLibraryServes(t *testing.T) {
+func TestFetchReadsPrometheusHandler(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	handed := prometheus.NewCounterVec(prometheus.CounterOpts{Name: string(metricHandedIn), Help: "h"}, []string{"queue", "account", "outcome"})
+	handed := prometheus.NewCounterVec(prometheus.CounterOpts{Name: string(metricSubmitted), Help: "h"}, []string{"queue", "account", "outcome"})
 	requests := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: string(metricRequests), Help: "h"}, []string{"kind", "status"})
 	share := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: string(metricShare), Help: "h"}, []string{"service", "account"})
 	owning := prometheus.NewGauge(prometheus.GaugeOpts{Name: string(metricOwning), Help: "h"})
@@ -87,7 +87,7 @@
 	hosts, missing, err := (&Fetcher{HTTP: &http.Client{}, Timeout: 5 * time.Second}).Fetch(t.Context(), []Address{host, "http://" + host + "/metrics"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(missing), 0)
-	r := Of(hosts, missing, 5)
+	r := New(hosts, missing, 5)
 	assert.Equal(t, string(r.Queues.Rows[0].Queue), "q\"\\\n")
 	assert.Equal(t, r.Total.RefusedLimit, int64(6))
 	assert.Equal(t, r.Calls[0].Unserved, int64(2))
--- a/mfreport/metrics.go
+++ b/mfreport/metrics.go
@@ -13,29 +13,29 @@
 	"github.com/prometheus/common/model"
 )
 
-// metric names a family that a report is made from.
-type metric string
+// familyName names a family that a report is made from.
+type familyName string
 
 // Families of each host.
 const (
-	metricHandedIn  metric = "mothferry_handed_in_total"
-	metricForwarded metric = "mothferry_calls_forwarded_total"
-	metricCarried   metric = "mothferry_calls_carried_total"
-	metricServing   metric = "mothferry_store_serving"
-	metricOwning    metric = "mothferry_owning"
-	metricRequests  metric = "mothferry_job_request_seconds"
+	metricSubmitted familyName = "mothferry_handed_in_total"
+	metricForwarded familyName = "mothferry_calls_forwarded_total"
+	metricCarried   familyName = "mothferry_calls_carried_total"
+	metricServing   familyName = "mothferry_store_serving"
+	metricOwning    familyName = "mothferry_owning"
+	metricRequests  familyName = "mothferry_job_request_seconds"
 )
 
 // Families of the shard's owner.
 const (
-	metricJobs       metric = "mothferry_account_jobs_total"
-	metricShare      metric = "mothferry_account_share_cores"
-	metricUsed       metric = "mothferry_account_used_cores"
-	metricSlow       metric = "mothferry_workers_slow"
-	metricSpeed      metric = "mothferry_worker_speed"
-	metricStragglers metric = "mothferry_stragglers_total"
-	metricMachines   metric = "mothferry_pool_machines"
-	metricBinding    metric = "mothferry_pool_binding"
+	metricJobs       familyName = "mothferry_account_jobs_total"
+	metricShare      familyName = "mothferry_account_share_cores"
+	metricUsed       familyName = "mothferry_account_used_cores"
+	metricSlow       familyName = "mothferry_workers_slow"
+	metricSpeed      familyName = "mothferry_worker_speed"
+	metricStragglers familyName = "mothferry_stragglers_total"
+	metricMachines   familyName = "mothferry_pool_machines"
+	metricBinding    familyName = "mothferry_pool_binding"
 )
 
 // Family is a family of metrics that a report is made from.
@@ -49,7 +49,7 @@
 // Families returns all families that a report is made from.
 func Families() []Family {
 	return []Family{
-		{Name: string(metricHandedIn), Labels: []string{"queue", "account", "outcome"}, Counter: true},
+		{Name: string(metricSubmitted), Labels: []string{"queue", "account", "outcome"}, Counter: true},
 		{Name: string(metricForwarded), Labels: []string{"kind", "outcome"}, Counter: true},
 		{Name: string(metricCarried), Labels: []string{"kind", "outcome"}, Counter: true},
 		{Name: string(metricRequests), Labels: []string{"kind", "status"}, Counter: true},
@@ -66,8 +66,8 @@
 	}
 }
 
-// longestDetail bounds what an error repeats of a text, in bytes.
-const longestDetail = 200
+// maxDetailBytes bounds what an error repeats of a text, in bytes.
+const maxDetailBytes = 200
 
 // sample is one value with its labels. A label that is missing reads as empty.
 type sample struct {
@@ -85,7 +85,7 @@
 }
 
 // Metrics are the families of one host that a report is made from.
-type Metrics map[metric][]sample
+type Metrics map[familyName][]sample
 
 // ErrBadMetrics reports a text that is not metrics, or has a value that can't be counted.
 type ErrBadMetrics struct {
@@ -108,7 +108,7 @@
 	families, err := parser.TextToMetricFamilies(r)
 	if err != nil {
 		detail := err.Error()
-		return nil, &ErrBadMetrics{Detail: detail[:min(len(detail), longestDetail)]}
+		return nil, &ErrBadMetrics{Detail: detail[:min(len(detail), maxDetailBytes)]}
 	}
 	m := Metrics{}
 	for _, f := range Families() {
@@ -120,7 +120,7 @@
 			for _, l := range one.GetLabel() {
 				s.labels[l.GetName()] = l.GetValue()
 			}
-			m[metric(f.Name)] = append(m[metric(f.Name)], s)
+			m[familyName(f.Name)] = append(m[familyName(f.Name)], s)
 		}
 	}
 	return m, nil
@@ -143,16 +143,16 @@
 	}
 }
 
-// Since returns the metrics with counters less what they were before. A counter
+// Delta returns the metrics with counters less what they were before. A counter
 // that is smaller than before belongs to a host that started again in between and
 // stands as it is.
-func (m Metrics) Since(before Metrics) Metrics {
+func (m Metrics) Delta(before Metrics) Metrics {
 	out := maps.Clone(m)
 	for _, f := range Families() {
 		if !f.Counter {
 			continue
 		}
-		name := metric(f.Name)
+		name := familyName(f.Name)
 		earlier := map[string]float64{}
 		for _, s := range before[name] {
 			earlier[s.key()] = s.value
--- a/mfreport/report.go
+++ b/mfreport/report.go
@@ -59,8 +59,8 @@
 	Answered int64  `json:"answered"`
 	// Unserved are those answered with a status of 500 or more.
 	Unserved int64 `json:"unserved"`
-	// Own are those answered without a peer.
-	Own int64 `json:"own"`
+	// Local are those answered without a peer.
+	Local int64 `json:"own"`
 	// Forwarded and Carried count by outcome: calls passed on to peers, and those
 	// that peers passed on to these hosts.
 	Forwarded map[string]int64 `json:"forwarded"`
@@ -76,14 +76,14 @@
 // Report is what hosts' metrics tell together. Counters run from each host's
 // start, unless they were taken since an earlier reading.
 type Report struct {
-	Answered int       `json:"hosts_answered"`
-	Missing  []Missing `json:"hosts_missing"`
+	Answered int           `json:"hosts_answered"`
+	Missing  []MissingHost `json:"hosts_missing"`
 	// Owners are the hosts that say that they own the shard. More than one is a
 	// change of owner under way: what an owner tells is the first one's then.
 	Owners []Address `json:"owners"`
-	// TurnedAway are the hosts that the store does not serve.
-	TurnedAway []Address `json:"turned_away"`
-	Total      Counts    `json:"total"`
+	// NotServedByStore are the hosts that the store does not serve.
+	NotServedByStore []Address `json:"turned_away"`
+	Total            Counts    `json:"total"`
 	// Accounts and Queues have the most refused first.
 	Accounts Rows[Account] `json:"accounts"`
 	Queues   Rows[Queue]   `json:"queues"`
@@ -95,10 +95,10 @@
 	Calls      []Calls          `json:"calls"`
 }
 
-// Of makes the report of the hosts that answered. Each table has at most top rows.
-func Of(hosts []Host, missing []Missing, top int) Report {
+// New makes the report of the hosts that answered. Each table has at most top rows.
+func New(hosts []Host, missing []MissingHost, top int) Report {
 	r := Report{
-		Answered: len(hosts), Missing: append([]Missing{}, missing...), Owners: []Address{}, TurnedAway: []Address{},
+		Answered: len(hosts), Missing: append([]MissingHost{}, missing...), Owners: []Address{}, NotServedByStore: []Address{},
 		Stragglers: map[string]int64{},
 	}
 	var owner Metrics
@@ -110,10 +110,10 @@
 			r.Owners = append(r.Owners, h.Address)
 		}
 		if serving := h.Metrics[metricServing]; len(serving) > 0 && sum(serving) == 0 {
-			r.TurnedAway = append(r.TurnedAway, h.Address)
+			r.NotServedByStore = append(r.NotServedByStore, h.Address)
 		}
 		for _, s := range h.Metrics[metricStragglers] {
-			r.Stragglers[s.labels["action"]] += whole(s.value)
+			r.Stragglers[s.labels["action"]] += roundCount(s.value)
 		}
 	}
 	r.Queues.Rows = queuesOf(hosts)
@@ -121,26 +121,26 @@
 	for _, a := range accounts {
 		r.Total.add(a.Counts)
 	}
-	r.Accounts = firstOf(accounts, top, func(a, b Account) int {
+	r.Accounts = topRows(accounts, top, func(a, b Account) int {
 		return cmp.Or(compareCounts(a.Counts, b.Counts), cmp.Compare(a.Account, b.Account))
 	})
-	r.Queues = firstOf(r.Queues.Rows, top, func(a, b Queue) int {
+	r.Queues = topRows(r.Queues.Rows, top, func(a, b Queue) int {
 		return cmp.Or(compareCounts(a.Counts, b.Counts), cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Account, b.Account))
 	})
-	r.Shares = firstOf(sharesOf(owner), top, func(a, b Share) int {
+	r.Shares = topRows(sharesOf(owner), top, func(a, b Share) int {
 		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Account, b.Account))
 	})
-	r.Pools = firstOf(poolsOf(owner), top, func(a, b Pool) int {
+	r.Pools = topRows(poolsOf(owner), top, func(a, b Pool) int {
 		return cmp.Or(cmp.Compare(b.Needed-b.Present, a.Needed-a.Present), cmp.Compare(a.Service, b.Service))
 	})
-	r.Workers = firstOf(workersOf(owner), top, func(a, b Worker) int {
+	r.Workers = topRows(workersOf(owner), top, func(a, b Worker) int {
 		return cmp.Or(cmp.Compare(a.Speed, b.Speed), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Worker, b.Worker))
 	})
 	r.Calls = callsOf(hosts)
 	return r
 }
 
-func firstOf[T any](rows []T, top int, compare func(a, b T) int) Rows[T] {
+func topRows[T any](rows []T, top int, compare func(a, b T) int) Rows[T] {
 	slices.SortFunc(rows, compare)
 	count := min(len(rows), max(top, 0))
 	return Rows[T]{Rows: append([]T{}, rows[:count]...), LeftOut: len(rows) - count}
--- a/mfreport/report_test.go
+++ b/mfreport/report_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-const owningHost = `
+const ownerMetrics = `
 # HELP mothferry_handed_in_total Jobs handed in.
 # TYPE mothferry_handed_in_total counter
 mothferry_handed_in_total{queue="quotes",account="a-1",outcome="accepted"} 90
@@ -50,7 +50,7 @@
 mothferry_stragglers_total{action="restarted"} 3
 `
 
-const otherHost = `
+const peerMetrics = `
 mothferry_handed_in_total{queue="quotes",account="a-2",outcome="refused_share"} 5
 mothferry_handed_in_total{queue="quotes",account="a-2",outcome="unknown"} 1
 mothferry_account_share_cores{service="s-1",account="a-1"} 99
@@ -68,7 +68,7 @@
 mothferry_job_request_seconds_count{kind="accept",status="Service Unavailable"} 2
 `
 
-func parsed(t *testing.T, text string) Metrics {
+func parseMetrics(t *testing.T, text string) Metrics {
 	t.Helper()
 	m, err := Parse(strings.NewReader(text))
 	assert.NilError(t, err)
@@ -79,53 +79,53 @@
 	t.Helper()
 	var hosts []Host
 	for i, text := range texts {
-		hosts = append(hosts, Host{Address: Address(fmt.Sprintf("h-%d", i+1)), Metrics: parsed(t, text)})
+		hosts = append(hosts, Host{Address: Address(fmt.Sprintf("h-%d", i+1)), Metrics: parseMetrics(t, text)})
 	}
-	return Of(hosts, nil, top)
+	return New(hosts, nil, top)
 }
 
 func TestReportSumsHosts(t *testing.T) {
-	r := reportOf(t, 10, owningHost, otherHost)
+	r := reportOf(t, 10, ownerMetrics, peerMetrics)
 	assert.DeepEqual(t, r.Owners, []Address{"h-1"})
-	assert.DeepEqual(t, r.TurnedAway, []Address{"h-2"})
+	assert.DeepEqual(t, r.NotServedByStore, []Address{"h-2"})
 	first := r.Accounts.Rows[0]
 	assert.Equal(t, string(first.Account), "a-2")
-	assert.DeepEqual(t, first.Counts, Counts{Asked: 58, Accepted: 10, RefusedShare: 45, RefusedQueue: 2, Unknown: 1, Late: 4})
+	assert.DeepEqual(t, first.Counts, Counts{Submitted: 58, Accepted: 10, RefusedShare: 45, RefusedQueue: 2, Unknown: 1, Late: 4})
 	assert.Equal(t, int64(*first.Share), int64(0))
 	assert.Assert(t, first.Used == nil)
 	second := r.Accounts.Rows[1]
 	assert.Equal(t, int64(*second.Share), int64(13500))
 	assert.Equal(t, int64(*second.Used), int64(11250))
-	assert.Equal(t, r.Total.Asked, int64(155))
-	assert.DeepEqual(t, r.Queues.Rows[2], Queue{Queue: "fares", Account: "a-2", Counts: Counts{Asked: 2, RefusedQueue: 2}})
+	assert.Equal(t, r.Total.Submitted, int64(155))
+	assert.DeepEqual(t, r.Queues.Rows[2], Queue{Queue: "fares", Account: "a-2", Counts: Counts{Submitted: 2, RefusedQueue: 2}})
 	assert.DeepEqual(t, r.Pools.Rows[0], Pool{Service: "s-1", Present: 10, Needed: 14, Target: 12, Binding: "memory", Slow: 2})
 	assert.Equal(t, string(r.Workers.Rows[0].Worker), "w-2")
 	assert.DeepEqual(t, r.Calls[0], Calls{
-		Kind: "accept", Answered: 32, Unserved: 2, Own: 12, Forwarded: map[string]int64{"done": 20, "no_peer": 2}, Carried: map[string]int64{},
+		Kind: "accept", Answered: 32, Unserved: 2, Local: 12, Forwarded: map[string]int64{"done": 20, "no_peer": 2}, Carried: map[string]int64{},
 	})
 	assert.DeepEqual(t, r.Calls[1].Carried, map[string]int64{"done": 6})
 }
 
 // A former owner goes on telling the shares that it last worked out.
-func TestOnlyTheOwnersGaugesCount(t *testing.T) {
-	r := reportOf(t, 10, otherHost, owningHost)
+func TestOnlyOwnerGaugesCount(t *testing.T) {
+	r := reportOf(t, 10, peerMetrics, ownerMetrics)
 	for _, a := range r.Accounts.Rows {
 		if a.Account == "a-1" {
 			assert.Equal(t, int64(*a.Share), int64(13500))
 		}
 	}
-	r = reportOf(t, 10, otherHost)
+	r = reportOf(t, 10, peerMetrics)
 	assert.Equal(t, len(r.Shares.Rows), 0)
 	var out strings.Builder
 	assert.NilError(t, r.WriteText(&out, AllSections()))
 	assert.Assert(t, strings.Contains(out.String(), "owner: none"), out.String())
-	r = reportOf(t, 10, owningHost, owningHost)
+	r = reportOf(t, 10, ownerMetrics, ownerMetrics)
 	assert.Equal(t, len(r.Owners), 2)
 	assert.Equal(t, len(r.Shares.Rows), 3)
 }
 
 // A host of another version leaves labels out or has outcomes that are not known.
-func TestLabelsThatAreMissing(t *testing.T) {
+func TestMissingLabels(t *testing.T) {
 	r := reportOf(t, 10, `
 mothferry_handed_in_total{outcome="accepted"} 3
 mothferry_handed_in_total{queue="q",account="a",outcome="refused_by_moon"} 2
@@ -135,7 +135,7 @@
 mothferry_pool_machines 4
 mothferry_pool_binding{service="s"} 1
 `)
-	assert.Equal(t, r.Total.Asked, int64(6))
+	assert.Equal(t, r.Total.Submitted, int64(6))
 	assert.Equal(t, r.Total.Accepted, int64(3))
 	assert.Equal(t, r.Total.Other, int64(3))
 	assert.Equal(t, r.Total.OtherEnds, int64(5))
@@ -145,7 +145,7 @@
 }
 
 // Some hundreds of accounts would fill an operator's screen and hide the refused.
-func TestReportIsBounded(t *testing.T) {
+func TestReportRowsAreLimited(t *testing.T) {
 	var text strings.Builder
 	for k := range 230 {
 		fmt.Fprintf(&text, "mothferry_handed_in_total{queue=\"q\",account=\"a-%03d\",outcome=\"accepted\"} %d\n", k, 1000-k)
@@ -156,7 +156,7 @@
 	assert.Equal(t, r.Accounts.LeftOut, 225)
 	assert.Equal(t, string(r.Accounts.Rows[0].Account), "a-200")
 	assert.Equal(t, string(r.Accounts.Rows[1].Account), "a-000")
-	assert.Equal(t, r.Total.Asked, int64(230*1000-229*230/2+1))
+	assert.Equal(t, r.Total.Submitted, int64(230*1000-229*230/2+1))
 	var out strings.Builder
 	assert.NilError(t, r.WriteText(&out, []Section{SectionAccounts}))
 	assert.Assert(t, strings.Contains(out.String(), "and 225 more"), out.String())
@@ -164,7 +164,7 @@
 }
 
 // A label with control characters would rewrite an operator's terminal.
-func TestNamesDoNotBreakTheTable(t *testing.T) {
+func TestTableEscapesControlCharacters(t *testing.T) {
 	r := reportOf(t, 5, `mothferry_handed_in_total{queue="q\n`+"\x1b[2J\t"+`r",account="a",outcome="accepted"} 1`+"\n")
 	var out strings.Builder
 	assert.NilError(t, r.WriteText(&out, []Section{SectionQueues}))
@@ -173,7 +173,7 @@
 }
 
 // A proxy's error page, a text cut short or a value that is no number counts as metrics.
-func TestBadMetricsAreRefused(t *testing.T) {
+func TestInvalidMetricsAreRejected(t *testing.T) {
 	for _, k := range []struct{ text, says string }{
 		{"<html>no such page</html>\n", "metrics can't be read"},
 		{`mothferry_handed_in_total{queue="q"`, "metrics can't be read"},
@@ -189,22 +189,22 @@
 	}
 	_, err := Parse(strings.NewReader("mothferry_owning " + strings.Repeat("x", 1<<16) + "\n"))
 	assert.Assert(t, len(err.Error()) < 300, "%d bytes", len(err.Error()))
-	m := parsed(t, "go_memory NaN\nmothferry_owning 1\n")
+	m := parseMetrics(t, "go_memory NaN\nmothferry_owning 1\n")
 	assert.Equal(t, len(m), 1)
 }
 
 // A host that starts again between two readings makes counts below zero.
-func TestCountersOverAnInterval(t *testing.T) {
-	before := parsed(t, "mothferry_handed_in_total{queue=\"q\",account=\"a\",outcome=\"accepted\"} 10\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 10\n")
-	after := parsed(t, "mothferry_handed_in_total{account=\"a\",queue=\"q\",outcome=\"accepted\"} 14\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 3\nmothferry_owning 1\n")
-	r := Of([]Host{{Address: "h", Metrics: after.Since(before)}}, nil, 5)
+func TestCounterDeltas(t *testing.T) {
+	before := parseMetrics(t, "mothferry_handed_in_total{queue=\"q\",account=\"a\",outcome=\"accepted\"} 10\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 10\n")
+	after := parseMetrics(t, "mothferry_handed_in_total{account=\"a\",queue=\"q\",outcome=\"accepted\"} 14\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 3\nmothferry_owning 1\n")
+	r := New([]Host{{Address: "h", Metrics: after.Delta(before)}}, nil, 5)
 	assert.Equal(t, r.Accounts.Rows[0].Accepted, int64(4))
 	assert.Equal(t, r.Accounts.Rows[1].Accepted, int64(3))
 	assert.Equal(t, len(r.Owners), 1)
 }
 
 // Jobs get lost between the outcomes that are told and those that were counted.
-func TestOutcomesAddUp(t *testing.T) {
+func TestOutcomesSumToSubmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		samples := rapid.SliceOf(rapid.Custom(func(t *rapid.T) sample {
 			return sample{value: float64(rapid.IntRange(0, 1000).Draw(t, "value")), labels: map[string]string{
@@ -213,15 +213,15 @@
 				"outcome": rapid.SampledFrom([]string{"", "accepted", "refused_share", "refused_limit", "refused_queue", "refused_store", "unknown", "x"}).Draw(t, "outcome"),
 			}}
 		})).Draw(t, "samples")
-		r := Of([]Host{{Metrics: Metrics{metricHandedIn: samples}}}, nil, rapid.IntRange(0, 3).Draw(t, "top"))
+		r := New([]Host{{Metrics: Metrics{metricSubmitted: samples}}}, nil, rapid.IntRange(0, 3).Draw(t, "top"))
 		c := r.Total
-		assert.Equal(t, c.Asked, whole(sum(samples)))
-		assert.Equal(t, c.Asked, c.Accepted+c.Refused()+c.Unknown+c.Other)
+		assert.Equal(t, c.Submitted, roundCount(sum(samples)))
+		assert.Equal(t, c.Submitted, c.Accepted+c.Refused()+c.Unknown+c.Other)
 	})
 }
 
 func TestReportAsJSON(t *testing.T) {
-	data, err := json.Marshal(reportOf(t, 10, owningHost).Only([]Section{SectionAccounts}))
+	data, err := json.Marshal(reportOf(t, 10, ownerMetrics).WithSections([]Section{SectionAccounts}))
 	assert.NilError(t, err)
 	for _, want := range []string{`"refused_share":40`, `"share_millicores":13500`, `"used_millicores":null`, `"hosts_missing":[]`, `"turned_away":[]`, `"pools":{"rows":[],"left_out":0}`} {
 		assert.Assert(t, strings.Contains(string(data), want), "%s: %s", want, data)
--- a/mfreport/sum.go
+++ b/mfreport/sum.go
@@ -23,11 +23,11 @@
 		return found[l]
 	}
 	for _, h := range hosts {
-		for _, s := range h.Metrics[metricHandedIn] {
-			at(s).countOutcome(s.labels["outcome"], whole(s.value))
+		for _, s := range h.Metrics[metricSubmitted] {
+			at(s).countOutcome(s.labels["outcome"], roundCount(s.value))
 		}
 		for _, s := range h.Metrics[metricJobs] {
-			at(s).countEnd(s.labels["end"], whole(s.value))
+			at(s).countEnd(s.labels["end"], roundCount(s.value))
 		}
 	}
 	var rows []Queue
@@ -50,11 +50,11 @@
 	}
 	for _, s := range owner[metricShare] {
 		a := at(mothferry.AccountID(s.labels["account"]))
-		a.Share = more(a.Share, s.value)
+		a.Share = addCores(a.Share, s.value)
 	}
 	for _, s := range owner[metricUsed] {
 		a := at(mothferry.AccountID(s.labels["account"]))
-		a.Used = more(a.Used, s.value)
+		a.Used = addCores(a.Used, s.value)
 	}
 	var rows []Account
 	for _, a := range found {
@@ -63,8 +63,8 @@
 	return rows
 }
 
-// more adds cores to an amount that may not have been told before.
-func more(m *mothferry.Millicores, cores float64) *mothferry.Millicores {
+// addCores adds cores to an amount that may not have been told before.
+func addCores(m *mothferry.Millicores, cores float64) *mothferry.Millicores {
 	total := millicores(cores)
 	if m != nil {
 		total += *m
@@ -95,11 +95,11 @@
 		p := at(s)
 		switch s.labels["kind"] {
 		case "present":
-			p.Present += whole(s.value)
+			p.Present += roundCount(s.value)
 		case "needed":
-			p.Needed += whole(s.value)
+			p.Needed += roundCount(s.value)
 		case "target":
-			p.Target += whole(s.value)
+			p.Target += roundCount(s.value)
 		}
 	}
 	most := map[mothferry.ServiceID]float64{}
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, s := range owner[metricSlow] {
-		at(s).Slow += whole(s.value)
+		at(s).Slow += roundCount(s.value)
 	}
 	var rows []Pool
 	for _, p := range found {
@@ -128,8 +128,8 @@
 	return rows
 }
 
-// uncarried are outcomes of calls that no peer carried out.
-var uncarried = []string{"no_peer", "limit"}
+// unexecutedOutcomes are outcomes of calls that no peer carried out.
+var unexecutedOutcomes = []string{"no_peer", "limit"}
 
 func callsOf(hosts []Host) []Calls {
 	found := map[string]*Calls{}
@@ -144,32 +144,32 @@
 	for _, h := range hosts {
 		for _, s := range h.Metrics[metricRequests] {
 			c := at(s)
-			c.Answered += whole(s.value)
-			if unserved(s.labels["status"]) {
-				c.Unserved += whole(s.value)
+			c.Answered += roundCount(s.value)
+			if isServerError(s.labels["status"]) {
+				c.Unserved += roundCount(s.value)
 			}
 		}
 		for _, s := range h.Metrics[metricForwarded] {
-			at(s).Forwarded[s.labels["outcome"]] += whole(s.value)
-			if !slices.Contains(uncarried, s.labels["outcome"]) {
-				sent[s.labels["kind"]] += whole(s.value)
+			at(s).Forwarded[s.labels["outcome"]] += roundCount(s.value)
+			if !slices.Contains(unexecutedOutcomes, s.labels["outcome"]) {
+				sent[s.labels["kind"]] += roundCount(s.value)
 			}
 		}
 		for _, s := range h.Metrics[metricCarried] {
-			at(s).Carried[s.labels["outcome"]] += whole(s.value)
+			at(s).Carried[s.labels["outcome"]] += roundCount(s.value)
 		}
 	}
 	rows := []Calls{}
 	for _, kind := range slices.Sorted(maps.Keys(found)) {
 		c := *found[kind]
-		c.Own = max(0, c.Answered-sent[kind])
+		c.Local = max(0, c.Answered-sent[kind])
 		rows = append(rows, c)
 	}
 	return rows
 }
 
-// unserved reports whether a status, which metrics hold as its text, is one of 500 or more.
-func unserved(status string) bool {
+// isServerError reports whether a status, which metrics hold as its text, is one of 500 or more.
+func isServerError(status string) bool {
 	for code := http.StatusInternalServerError; code < 600; code++ {
 		if text := http.StatusText(code); text != "" && text == status {
 			return true
@@ -186,7 +186,7 @@
 	return total
 }
 
-func whole(v float64) int64 { return int64(math.Round(v)) }
+func roundCount(v float64) int64 { return int64(math.Round(v)) }
 
 func millicores(cores float64) mothferry.Millicores {
 	return mothferry.Millicores(math.Round(1000 * cores))
--- a/mfreport/table.go
+++ b/mfreport/table.go
@@ -32,8 +32,8 @@
 	return []Section{SectionAccounts, SectionQueues, SectionShares, SectionPools, SectionWorkers, SectionCalls}
 }
 
-// Only returns the report with just these sections' rows; the hosts and the total stay.
-func (r Report) Only(sections []Section) Report {
+// WithSections returns the report with just these sections' rows; the hosts and the total stay.
+func (r Report) WithSections(sections []Section) Report {
 	if !slices.Contains(sections, SectionAccounts) {
 		r.Accounts = Rows[Account]{Rows: []Account{}}
 	}
@@ -89,21 +89,21 @@
 	case 1:
 		fmt.Fprintf(w, "owner: %s\n", cell(r.Owners[0]))
 	default:
-		fmt.Fprintf(w, "owner: changing, %s say that they are; figures are the first one's\n", joined(r.Owners))
+		fmt.Fprintf(w, "owner: changing, %s say that they are; figures are the first one's\n", joinAddresses(r.Owners))
 	}
-	if len(r.TurnedAway) > 0 {
-		fmt.Fprintf(w, "the store does not serve: %s\n", joined(r.TurnedAway))
+	if len(r.NotServedByStore) > 0 {
+		fmt.Fprintf(w, "the store does not serve: %s\n", joinAddresses(r.NotServedByStore))
 	}
 }
 
-// countsHead and its rows have the same columns.
-const countsHead = "ASKED\tACCEPTED\tREF. SHARE\tREF. LIMIT\tREF. QUEUE\tREF. STORE\tUNKNOWN\tIN TIME\tLATE\tTOO LATE\tFAILED\tCANCELLED\tOTHER"
+// countsHeader and its rows have the same columns.
+const countsHeader = "ASKED\tACCEPTED\tREF. SHARE\tREF. LIMIT\tREF. QUEUE\tREF. STORE\tUNKNOWN\tIN TIME\tLATE\tTOO LATE\tFAILED\tCANCELLED\tOTHER"
 
 func countsRow(c Counts) string {
 	var cells []string
 	for _, n := range []int64{
-		c.Asked, c.Accepted, c.RefusedShare, c.RefusedLimit, c.RefusedQueue, c.RefusedStore, c.Unknown,
-		c.InTime, c.Late, c.TooLate, c.Failed, c.Cancelled, c.Other + c.OtherEnds,
+		c.Submitted, c.Accepted, c.RefusedShare, c.RefusedLimit, c.RefusedQueue, c.RefusedStore, c.Unknown,
+		c.OnTime, c.Late, c.TooLate, c.Failed, c.Cancelled, c.Other + c.OtherEnds,
 	} {
 		cells = append(cells, strconv.FormatInt(n, 10))
 	}
@@ -111,16 +111,16 @@
 }
 
 func (r Report) writeAccounts(w io.Writer) {
-	fmt.Fprintf(w, "\nACCOUNT\t%s\tSHARE\tUSED\n", countsHead)
+	fmt.Fprintf(w, "\nACCOUNT\t%s\tSHARE\tUSED\n", countsHeader)
 	for _, a := range r.Accounts.Rows {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", cell(a.Account), countsRow(a.Counts), told(a.Share), told(a.Used))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", cell(a.Account), countsRow(a.Counts), optionalCores(a.Share), optionalCores(a.Used))
 	}
 	writeLeftOut(w, r.Accounts.LeftOut)
 	fmt.Fprintf(w, "all accounts\t%s\t\t\n", countsRow(r.Total))
 }
 
 func (r Report) writeQueues(w io.Writer) {
-	fmt.Fprintf(w, "\nQUEUE\tACCOUNT\t%s\n", countsHead)
+	fmt.Fprintf(w, "\nQUEUE\tACCOUNT\t%s\n", countsHeader)
 	for _, q := range r.Queues.Rows {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", cell(q.Queue), cell(q.Account), countsRow(q.Counts))
 	}
@@ -130,7 +130,7 @@
 func (r Report) writeShares(w io.Writer) {
 	fmt.Fprintln(w, "\nSERVICE\tACCOUNT\tSHARE")
 	for _, s := range r.Shares.Rows {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", cell(s.Service), cell(s.Account), cores(s.Share))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", cell(s.Service), cell(s.Account), formatCores(s.Share))
 	}
 	writeLeftOut(w, r.Shares.LeftOut)
 }
@@ -149,13 +149,13 @@
 		fmt.Fprintf(w, "%s\t%s\t%.2f\n", cell(s.Worker), cell(s.Service), s.Speed)
 	}
 	writeLeftOut(w, r.Workers.LeftOut)
-	fmt.Fprintf(w, "stragglers: %s\n", counted(r.Stragglers))
+	fmt.Fprintf(w, "stragglers: %s\n", formatCounts(r.Stragglers))
 }
 
 func (r Report) writeCalls(w io.Writer) {
 	fmt.Fprintln(w, "\nCALLS\tANSWERED\tUNSERVED\tHERE\tFORWARDED\tCARRIED FOR PEERS")
 	for _, c := range r.Calls {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%s\n", cell(c.Kind), c.Answered, c.Unserved, c.Own, counted(c.Forwarded), counted(c.Carried))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%s\n", cell(c.Kind), c.Answered, c.Unserved, c.Local, formatCounts(c.Forwarded), formatCounts(c.Carried))
 	}
 }
 
@@ -183,7 +183,7 @@
 	}, text)
 }
 
-func joined(addresses []Address) string {
+func joinAddresses(addresses []Address) string {
 	var out []string
 	for _, a := range addresses {
 		out = append(out, cell(a))
@@ -191,7 +191,7 @@
 	return strings.Join(out, ", ")
 }
 
-func counted(counts map[string]int64) string {
+func formatCounts(counts map[string]int64) string {
 	if len(counts) == 0 {
 		return "none"
 	}
@@ -202,13 +202,13 @@
 	return strings.Join(out, ", ")
 }
 
-func told(m *mothferry.Millicores) string {
+func optionalCores(m *mothferry.Millicores) string {
 	if m == nil {
 		return "-"
 	}
-	return cores(*m)
+	return formatCores(*m)
 }
 
-func cores(m mothferry.Millicores) string {
+func formatCores(m mothferry.Millicores) string {
 	return strconv.FormatFloat(float64(m)/1000, 'f', 1, 64)
 }
