--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -191,7 +191,7 @@
 	d.router = &mfroute.Router{
 		Self: s.Daemon, DataCentre: s.DataCentre, Clock: d.Clock, Random: d.Random,
 		Limits: mfroute.Limits{
-			Queue: s.Limits.Queue, WaitShare: queueWaitFraction, OverloadShare: overloadWaitFraction, EjectShare: s.Limits.EjectShare,
+			Queue: s.Limits.Queue, MaxWaitFraction: queueWaitFraction, MaxOverloadWaitFraction: overloadWaitFraction, MaxEjectedFraction: s.Limits.EjectShare,
 			RetryRatio: s.Limits.RetryRatio, Borrow: true,
 		},
 		Store: d.store, Peers: d.mesh, EntryHosts: s.EntryHosts(), Heartbeat: s.Timing.Heartbeat,
--- a/mfentry/dispatch.go
+++ b/mfentry/dispatch.go
@@ -63,7 +63,7 @@
 		h.waitConfirmed(ctx)
 		lease, err := h.Router.Acquire(ctx, q.service, mfroute.Request{
 			Customer: q.customer, Priority: q.priority, Exclude: past.tried,
-			Again: try > 0, Retry: try > 0 && past.last.reason != mothferry.ReasonRefused,
+			Reattempt: try > 0, Retry: try > 0 && past.last.reason != mothferry.ReasonRefused,
 		})
 		if err != nil {
 			return h.withoutRunner(ctx, q, past, err)
--- a/mfroute/balancer.go
+++ b/mfroute/balancer.go
@@ -19,14 +19,14 @@
 type Limits struct {
 	// Queue bounds the requests that wait.
 	Queue int
-	// WaitShare is the largest part of a request's remaining time that it may
+	// MaxWaitFraction is the largest part of a request's remaining time that it may
 	// be expected to wait; above it the request is refused at once.
-	WaitShare float64
-	// OverloadShare takes the place of WaitShare while callers ask for more
+	MaxWaitFraction float64
+	// MaxOverloadWaitFraction takes the place of WaitShare while callers ask for more
 	// than the runners have.
-	OverloadShare float64
-	// EjectShare is the largest part of the runners that may be ejected at once.
-	EjectShare float64
+	MaxOverloadWaitFraction float64
+	// MaxEjectedFraction is the largest part of the runners that may be ejected at once.
+	MaxEjectedFraction float64
 	// RetryRatio is the number of second tries allowed for each first try.
 	RetryRatio float64
 	// Borrow allows slots beyond this daemon's share where peers leave them idle.
@@ -40,8 +40,8 @@
 	Deadline time.Time
 	// Exclude lists the runners that must not be chosen, because they already failed this request.
 	Exclude map[mothferry.TaskID]bool
-	// Again marks a second or later try, which is not held to the limits anew.
-	Again bool
+	// Reattempt marks a second or later try, which is not held to the limits anew.
+	Reattempt bool
 	// Retry marks a try after a failure, which draws on the retry budget. A
 	// try after a refusal costs the runner next to nothing and does not.
 	Retry bool
@@ -68,12 +68,12 @@
 // Mean service time: the assumption before the first answer, and the weight
 // of each answer in the moving average.
 const (
-	initialMean = 50 * time.Millisecond
-	meanWeight  = 0.05
+	initialServiceTime = 50 * time.Millisecond
+	serviceTimeWeight  = 0.05
 )
 
 // Retry budget: its largest balance, which is also what it starts with.
-const retryBurst = 10
+const maxRetryBudget = 10
 
 // Bounds of the time after which a refused caller is told to come back.
 const (
@@ -94,21 +94,21 @@
 	// runners are ordered by task id.
 	runners []*runner
 	// departed are runners no longer placed that still have requests in flight.
-	departed map[*runner]bool
-	mean     float64
-	retries  float64
-	// credit bounds the borrowed slots, and borrowed counts them.
-	credit   int
-	borrowed int
+	departed        map[*runner]bool
+	meanServiceTime float64
+	retryBudget     float64
+	// borrowLimit bounds the borrowed slots, and borrowed counts them.
+	borrowLimit int
+	borrowed    int
 	// members share the runners; weights are what they last said of their demand.
-	members []mothferry.DaemonID
-	weights map[mothferry.DaemonID]float64
+	members      []mothferry.DaemonID
+	memberDemand map[mothferry.DaemonID]float64
 	// demand is the moving average of this daemon's demand, arrived the
 	// requests since measured, and told what the peers were last told.
-	demand   float64
-	told     float64
-	arrived  int
-	measured time.Time
+	demand          float64
+	publishedDemand float64
+	arrivals        int
+	measuredAt      time.Time
 	// overloaded tells that the callers of all members ask for more than the runners have.
 	overloaded bool
 }
@@ -117,16 +117,16 @@
 func (b *Balancer) Update(d mfdocument.Document, placed []mfplacement.Runner, members []mothferry.DaemonID) {
 	if b.departed == nil {
 		b.departed = map[*runner]bool{}
-		b.mean = float64(initialMean)
-		b.retries = retryBurst
-		b.measured = b.Clock.Now()
+		b.meanServiceTime = float64(initialServiceTime)
+		b.retryBudget = maxRetryBudget
+		b.measuredAt = b.Clock.Now()
 	}
 	b.members = members
 	b.document = d
 	b.queue.Limit = b.Limits.Queue
 	known := map[mothferry.TaskID]*runner{}
 	for _, r := range b.runners {
-		known[r.placed.Task] = r
+		known[r.placement.Task] = r
 	}
 	b.runners = nil
 	for _, p := range placed {
@@ -135,7 +135,7 @@
 			r = &runner{window: 1}
 		}
 		delete(known, p.Task)
-		r.placed = p
+		r.placement = p
 		r.connections = max(int(p.Connections)/max(len(members), 1), 1)
 		b.runners = append(b.runners, r)
 	}
@@ -144,8 +144,8 @@
 			b.departed[r] = true
 		}
 	}
-	sort.Slice(b.runners, func(i, j int) bool { return b.runners[i].placed.Task < b.runners[j].placed.Task })
-	b.divide()
+	sort.Slice(b.runners, func(i, j int) bool { return b.runners[i].placement.Task < b.runners[j].placement.Task })
+	b.computeShares()
 	b.grant()
 }
 
@@ -155,7 +155,7 @@
 		t.Decide(nil, err)
 		return
 	}
-	t.waiter = &mfadmit.Waiter[*Ticket]{Customer: t.Customer, Priority: t.Priority, Front: t.Again, Value: t}
+	t.waiter = &mfadmit.Waiter[*Ticket]{Customer: t.Customer, Priority: t.Priority, Front: t.Reattempt, Value: t}
 	if evicted := b.queue.Push(t.waiter); evicted != nil {
 		evicted.Value.Decide(nil, b.refusal(mothferry.ReasonOverload))
 	}
@@ -169,16 +169,16 @@
 		return b.refusal(mothferry.ReasonNoRunner)
 	}
 	if t.Retry {
-		if b.retries < 1 {
+		if b.retryBudget < 1 {
 			return b.refusal(mothferry.ReasonNoRunner)
 		}
-		b.retries--
+		b.retryBudget--
 	}
-	if t.Again {
+	if t.Reattempt {
 		return nil
 	}
-	b.arrived++
-	b.retries = min(b.retries+b.Limits.RetryRatio, retryBurst)
+	b.arrivals++
+	b.retryBudget = min(b.retryBudget+b.Limits.RetryRatio, maxRetryBudget)
 	if b.queue.Outstanding(t.Customer) >= b.document.InFlightLimit(t.Customer) {
 		return b.refusal(mothferry.ReasonCustomerLimit)
 	}
@@ -187,23 +187,23 @@
 		return b.refusal(mothferry.ReasonDeadline)
 	}
 	ahead := b.queue.Ahead(t.Customer, t.Priority)
-	if ahead > 0 && float64(b.wait(ahead)) > b.waitShare(t.Customer)*float64(left) {
+	if ahead > 0 && float64(b.estimateWait(ahead)) > b.maxWaitFraction(t.Customer)*float64(left) {
 		return b.refusal(mothferry.ReasonOverload)
 	}
 	return nil
 }
 
-// waitShare returns the part of its time that a request may be expected to
+// maxWaitFraction returns the part of its time that a request may be expected to
 // wait. Under overload the queue never empties: its length then only adds to
 // everybody's time without one request more being answered. A customer with
 // at most one request above an equal part of the slots is not what causes the
 // overload, and keeps the longer wait: with few slots a single turn of the
 // others' would otherwise be too long for it.
-func (b *Balancer) waitShare(customer mothferry.CustomerID) float64 {
+func (b *Balancer) maxWaitFraction(customer mothferry.CustomerID) float64 {
 	if b.overloaded && (b.queue.Outstanding(customer)-1)*b.queue.Customers() >= b.capacity() {
-		return b.Limits.OverloadShare
+		return b.Limits.MaxOverloadWaitFraction
 	}
-	return b.Limits.WaitShare
+	return b.Limits.MaxWaitFraction
 }
 
 // Cancel gives up a ticket that still waits, and reports whether it did.
@@ -224,13 +224,13 @@
 	}
 	b.queue.Finish(l.customer)
 	if result == ResultAnswered {
-		b.mean += meanWeight * (float64(now.Sub(l.granted)) - b.mean)
+		b.meanServiceTime += serviceTimeWeight * (float64(now.Sub(l.granted)) - b.meanServiceTime)
 	}
 	if l.Borrowed && result == ResultBusy {
 		// The counts were stale: what is believed idle is not.
-		b.credit = b.borrowed
+		b.borrowLimit = b.borrowed
 	}
-	r.note(result, now, b.Random)
+	r.recordResult(result, now, b.Random)
 	b.capEjections(now)
 	b.grant()
 }
@@ -250,7 +250,7 @@
 func (b *Balancer) grant() {
 	for b.queue.Len() > 0 {
 		now := b.Clock.Now()
-		w := b.queue.Pop(func(w *mfadmit.Waiter[*Ticket]) bool { return b.anyRoom(now, w.Value.Exclude) })
+		w := b.queue.Pop(func(w *mfadmit.Waiter[*Ticket]) bool { return b.anyFreeSlot(now, w.Value.Exclude) })
 		if w == nil {
 			break
 		}
@@ -260,25 +260,25 @@
 		chosen, borrowed := b.choose(now, w.Value.Exclude)
 		b.lease(w.Value, chosen, borrowed, now)
 	}
-	b.giveUp()
+	b.refuseUnroutable()
 }
 
 func (b *Balancer) lease(t *Ticket, r *runner, borrowed bool, now time.Time) {
 	r.inFlight++
-	if r.began.IsZero() {
-		r.began = now
+	if r.firstSentAt.IsZero() {
+		r.firstSentAt = now
 	}
 	if borrowed {
 		b.borrowed++
 	}
 	t.Decide(&Lease{
-		Task: r.placed.Task, Address: r.placed.Address, Connections: r.placed.Connections,
+		Task: r.placement.Task, Address: r.placement.Address, Connections: r.placement.Connections,
 		Borrowed: borrowed, runner: r, customer: t.Customer, granted: now,
 	}, nil)
 }
 
-// giveUp refuses at once the waiting requests that no runner is left for.
-func (b *Balancer) giveUp() {
+// refuseUnroutable refuses at once the waiting requests that no runner is left for.
+func (b *Balancer) refuseUnroutable() {
 	if b.queue.Len() == 0 {
 		return
 	}
@@ -293,19 +293,19 @@
 // else one to borrow a slot from, else nil. Ties are broken at random, since
 // a fixed order would load the first runners more.
 func (b *Balancer) choose(now time.Time, exclude map[mothferry.TaskID]bool) (*runner, bool) {
-	best := b.most(func(r *runner) int { return r.ownRoom(now, exclude) })
+	best := b.pickMost(func(r *runner) int { return r.freeOwnSlots(now, exclude) })
 	if best != nil || !b.mayBorrow() {
 		return best, false
 	}
-	best = b.most(func(r *runner) int { return r.borrowRoom(now, exclude) })
+	best = b.pickMost(func(r *runner) int { return r.borrowableSlots(now, exclude) })
 	return best, best != nil
 }
 
-// anyRoom reports whether choose would return a runner.
-func (b *Balancer) anyRoom(now time.Time, exclude map[mothferry.TaskID]bool) bool {
+// anyFreeSlot reports whether choose would return a runner.
+func (b *Balancer) anyFreeSlot(now time.Time, exclude map[mothferry.TaskID]bool) bool {
 	borrow := b.mayBorrow()
 	for _, r := range b.runners {
-		if r.ownRoom(now, exclude) > 0 || borrow && r.borrowRoom(now, exclude) > 0 {
+		if r.freeOwnSlots(now, exclude) > 0 || borrow && r.borrowableSlots(now, exclude) > 0 {
 			return true
 		}
 	}
@@ -313,11 +313,11 @@
 }
 
 func (b *Balancer) mayBorrow() bool {
-	return b.Limits.Borrow && b.borrowed < b.credit
+	return b.Limits.Borrow && b.borrowed < b.borrowLimit
 }
 
-// most returns a runner with the highest room above 0.
-func (b *Balancer) most(room func(*runner) int) *runner {
+// pickMost returns a runner with the highest room above 0.
+func (b *Balancer) pickMost(room func(*runner) int) *runner {
 	var best *runner
 	highest, ties := 0, 0
 	for _, r := range b.runners {
@@ -346,7 +346,7 @@
 			ejected = append(ejected, r)
 		}
 	}
-	allowed := int(b.Limits.EjectShare * float64(len(b.runners)))
+	allowed := int(b.Limits.MaxEjectedFraction * float64(len(b.runners)))
 	sort.SliceStable(ejected, func(i, j int) bool { return ejected[i].ejectedUntil.Before(ejected[j].ejectedUntil) })
 	for i := 0; i < len(ejected)-allowed; i++ {
 		ejected[i].ejectedUntil = now
@@ -355,16 +355,16 @@
 
 func (b *Balancer) anyUsable(now time.Time, exclude map[mothferry.TaskID]bool) bool {
 	for _, r := range b.runners {
-		if r.usable(now) && !exclude[r.placed.Task] {
+		if r.usable(now) && !exclude[r.placement.Task] {
 			return true
 		}
 	}
 	return false
 }
 
-// wait estimates how long it takes to start what is ahead.
-func (b *Balancer) wait(ahead int) time.Duration {
-	return time.Duration(float64(ahead+1) * b.mean / float64(max(b.capacity(), 1)))
+// estimateWait estimates how long it takes to start what is ahead.
+func (b *Balancer) estimateWait(ahead int) time.Duration {
+	return time.Duration(float64(ahead+1) * b.meanServiceTime / float64(max(b.capacity(), 1)))
 }
 
 // capacity is how many requests this daemon can have in work at once.
@@ -383,7 +383,7 @@
 // backlog should be gone, spread over twice that time so that refused callers
 // do not return together.
 func (b *Balancer) refusal(reason mothferry.Reason) *mothferry.ErrNotRun {
-	backlog := max(b.wait(b.queue.Len()), minRetryAfter)
+	backlog := max(b.estimateWait(b.queue.Len()), minRetryAfter)
 	spread := time.Duration(float64(backlog) * (1 + b.Random.Float64()))
 	return &mothferry.ErrNotRun{Reason: reason, RetryAfter: min(spread, maxRetryAfter)}
 }
@@ -393,7 +393,7 @@
 func (b *Balancer) InFlightLeaving(pool map[mothferry.TaskID]bool) int {
 	count := 0
 	for _, r := range b.runners {
-		if pool[r.placed.Task] && r.placed.State != mfplacement.StateServing {
+		if pool[r.placement.Task] && r.placement.State != mfplacement.StateServing {
 			count += r.inFlight
 		}
 	}
--- a/mfroute/balancer_test.go
+++ b/mfroute/balancer_test.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// bench is a balancer with what the test knows of its tickets.
-type bench struct {
+// balancerFixture is a balancer with what the test knows of its tickets.
+type balancerFixture struct {
 	balancer *Balancer
 	clock    *mffake.Clock
 	placed   []mfplacement.Runner
@@ -64,8 +64,8 @@
 	count    int
 }
 
-func newBench(runners int, limits Limits) *bench {
-	k := &bench{clock: mffake.NewClock(), decided: map[int]int{}}
+func newBalancerFixture(runners int, limits Limits) *balancerFixture {
+	k := &balancerFixture{clock: mffake.NewClock(), decided: map[int]int{}}
 	k.balancer = &Balancer{Self: "a", Clock: k.clock, Random: rand.New(rand.NewPCG(1, 2)), Limits: limits}
 	for i := range runners {
 		k.placed = append(k.placed, mfplacement.Runner{Task: mothferry.TaskID(fmt.Sprint("r", i)), State: mfplacement.StateServing, Slots: 8, Connections: 64})
@@ -74,13 +74,13 @@
 	return k
 }
 
-func (k *bench) update() {
+func (k *balancerFixture) update() {
 	d := mfdocument.Default()
 	d.Customers.InFlight = 20
 	k.balancer.Update(d, k.placed, []mothferry.DaemonID{"a", "b"})
 }
 
-func (k *bench) submit(customer mothferry.CustomerID, exclude ...mothferry.TaskID) {
+func (k *balancerFixture) submit(customer mothferry.CustomerID, exclude ...mothferry.TaskID) {
 	id := k.count
 	k.count++
 	t := &Ticket{Customer: customer, Deadline: k.clock.Now().Add(time.Minute), Exclude: map[mothferry.TaskID]bool{}}
@@ -100,19 +100,19 @@
 	k.balancer.Submit(t)
 }
 
-func (k *bench) release(i int, result Result) {
+func (k *balancerFixture) release(i int, result Result) {
 	l := k.leases[i]
 	k.leases = append(k.leases[:i:i], k.leases[i+1:]...)
 	k.balancer.Release(l, result)
 }
 
-// TestBalancerKeepsItsPromises plays any sequence of requests, ends, failures
+// TestBalancerInvariants plays any sequence of requests, ends, failures
 // and placements. No new work goes to a runner that is leaving, ejected or
 // full; no more are ejected than the cap allows; each request is decided once,
 // and every refusal says when to come back.
-func TestBalancerKeepsItsPromises(t *testing.T) {
+func TestBalancerInvariants(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
-		k := newBench(rapid.IntRange(1, 6).Draw(t, "runners"), Limits{Queue: 10, WaitShare: 1, OverloadShare: 1, EjectShare: 0.5, RetryRatio: 0.2, Borrow: true})
+		k := newBalancerFixture(rapid.IntRange(1, 6).Draw(t, "runners"), Limits{Queue: 10, MaxWaitFraction: 1, MaxOverloadWaitFraction: 1, MaxEjectedFraction: 0.5, RetryRatio: 0.2, Borrow: true})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			before := len(k.leases)
 			now := k.clock.Now()
@@ -120,7 +120,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				for _, r := range k.balancer.runners {
-					usable[r.placed.Task] = r.usable(now)
+					usable[r.placement.Task] = r.usable(now)
 				}
 				excluded := k.placed[rapid.IntRange(0, len(k.placed)-1).Draw(t, "excluded")].Task
 				k.submit(mothferry.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), excluded)
@@ -139,11 +139,11 @@
 				k.placed[i].State = rapid.SampledFrom([]mfplacement.State{mfplacement.StateServing, mfplacement.StateLeaving}).Draw(t, "state")
 				k.update()
 			case 5:
-				k.balancer.Heard([]PeerUse{{Daemon: "b", Demand: float64(rapid.IntRange(0, 20).Draw(t, "demand")), InFlight: make([]int, len(k.placed))}})
+				k.balancer.UpdatePeers([]PeerUsage{{Daemon: "b", Demand: float64(rapid.IntRange(0, 20).Draw(t, "demand")), InFlight: make([]int, len(k.placed))}})
 			}
 			ejected := 0
 			for _, r := range k.balancer.runners {
-				assert.Assert(t, r.inFlight >= 0 && r.inFlight <= int(r.placed.Slots))
+				assert.Assert(t, r.inFlight >= 0 && r.inFlight <= int(r.placement.Slots))
 				if k.clock.Now().Before(r.ejectedUntil) {
 					ejected++
 				}
@@ -163,11 +163,11 @@
 	})
 }
 
-// TestDeadRunnerIsFoundOnce: symptom, each request rediscovers a dead runner.
+// TestFailedConnectEjectsRunner: symptom, each request rediscovers a dead runner.
 // One failed connect is enough to keep the others away, for a short while
 // that grows as the runner stays dead, and it comes back slowly.
-func TestDeadRunnerIsFoundOnce(t *testing.T) {
-	k := newBench(2, Limits{Queue: 10, WaitShare: 1, EjectShare: 0.5})
+func TestFailedConnectEjectsRunner(t *testing.T) {
+	k := newBalancerFixture(2, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	k.submit("c")
 	dead := k.leases[0].Task
 	k.release(0, ResultConnectFailed)
@@ -193,13 +193,13 @@
 // TestRetryBudget: symptom, a failing service gets several times its load.
 // Second tries are bounded by a part of the first ones, after a small burst.
 func TestRetryBudget(t *testing.T) {
-	k := newBench(1, Limits{Queue: 10, WaitShare: 1, EjectShare: 0, RetryRatio: 0.2})
+	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0, RetryRatio: 0.2})
 	granted := 0
 	const first = 200
 	for range first {
 		k.submit("c")
 		k.release(0, ResultLost)
-		again := &Ticket{Customer: "c", Deadline: k.clock.Now().Add(time.Minute), Again: true, Retry: true}
+		again := &Ticket{Customer: "c", Deadline: k.clock.Now().Add(time.Minute), Reattempt: true, Retry: true}
 		again.Decide = func(l *Lease, _ error) {
 			if l != nil {
 				granted++
@@ -208,21 +208,21 @@
 		}
 		k.balancer.Submit(again)
 	}
-	assert.Assert(t, granted <= retryBurst+first/5, "%d second tries", granted)
+	assert.Assert(t, granted <= maxRetryBudget+first/5, "%d second tries", granted)
 	assert.Assert(t, granted >= first/5)
 }
 
-// TestSlowAnswersFillARunner: symptom, a waking customer's slow requests time
+// TestWindowGrowsWithoutAnswers: symptom, a waking customer's slow requests time
 // out in the queue of idle runners. Sequence: new runners get one request each
 // and no more until the first answer, seconds later. Cause: a window that
 // grows with answers alone.
-func TestSlowAnswersFillARunner(t *testing.T) {
-	k := newBench(1, Limits{Queue: 10, WaitShare: 1, EjectShare: 0.5})
+func TestWindowGrowsWithoutAnswers(t *testing.T) {
+	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	for range 4 {
 		k.submit("c")
 	}
 	assert.Equal(t, len(k.leases), 1)
-	k.clock.Advance(4 * windowStep)
+	k.clock.Advance(4 * windowGrowthInterval)
 	k.balancer.Wake()
 	assert.Equal(t, len(k.leases), 4)
 }
@@ -247,11 +247,11 @@
 	assert.DeepEqual(t, order, []int{0, 10, 1, 2, 3, 11})
 }
 
-// TestAbandonedLeaseIsReturned: symptom, a runner's slots vanish for good.
+// TestAbandonedLeaseIsReleased: symptom, a runner's slots vanish for good.
 // Sequence: a request's deadline passes in the moment its ticket is granted.
 // Cause: nobody waits for the granted lease any more.
-func TestAbandonedLeaseIsReturned(t *testing.T) {
-	k := newBench(1, Limits{Queue: 10, WaitShare: 1, EjectShare: 0.5})
+func TestAbandonedLeaseIsReleased(t *testing.T) {
+	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	s := &service{balancer: k.balancer}
 	for range 100 {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/mfroute/policy_test.go
+++ b/mfroute/policy_test.go
@@ -10,19 +10,19 @@
 	"mothferry/mfplacement"
 )
 
-// chosen is the product's own balancer as a policy.
-type chosen struct {
-	model    *model
-	self     int
-	balancer *Balancer
-	told     PeerUse
-	tasks    map[mothferry.TaskID]int
+// balancerPolicy is the product's own balancer as a policy.
+type balancerPolicy struct {
+	model     *model
+	self      int
+	balancer  *Balancer
+	published PeerUsage
+	tasks     map[mothferry.TaskID]int
 }
 
-func balancer(limits Limits) func(m *model, self int) dispatcher {
+func newBalancerPolicy(limits Limits) func(m *model, self int) dispatcher {
 	return func(m *model, self int) dispatcher {
 		members := []mothferry.DaemonID{"entry-0", "entry-1", "entry-2"}
-		c := &chosen{model: m, self: self, tasks: map[mothferry.TaskID]int{}, balancer: &Balancer{
+		c := &balancerPolicy{model: m, self: self, tasks: map[mothferry.TaskID]int{}, balancer: &Balancer{
 			Self: members[self], Clock: m, Random: m.random, Limits: limits,
 		}}
 		d := mfdocument.Default()
@@ -38,10 +38,10 @@
 	}
 }
 
-func (c *chosen) arrive(r *modelRequest) { c.submit(r, false) }
+func (c *balancerPolicy) arrive(r *modelRequest) { c.submit(r, false) }
 
-func (c *chosen) submit(r *modelRequest, retry bool) {
-	t := &Ticket{Customer: r.customer, Priority: mfadmit.PriorityUrgent, Deadline: c.model.Now().Add(modelDeadline - (c.model.now - r.arrived)), Again: r.tries > 0, Retry: retry}
+func (c *balancerPolicy) submit(r *modelRequest, retry bool) {
+	t := &Ticket{Customer: r.customer, Priority: mfadmit.PriorityUrgent, Deadline: c.model.Now().Add(modelDeadline - (c.model.now - r.arrived)), Reattempt: r.tries > 0, Retry: retry}
 	t.Decide = func(l *Lease, err error) {
 		if err == nil {
 			r.lease = l
@@ -49,13 +49,13 @@
 		}
 	}
 	c.balancer.Submit(t)
-	c.model.at(modelDeadline-(c.model.now-r.arrived), func() { c.balancer.Cancel(t) })
+	c.model.schedule(modelDeadline-(c.model.now-r.arrived), func() { c.balancer.Cancel(t) })
 }
 
-func (c *chosen) finished(r *modelRequest, _ int, result Result) {
+func (c *balancerPolicy) finished(r *modelRequest, _ int, result Result) {
 	c.balancer.Release(r.lease, result)
 	if result == ResultBusy {
-		c.model.at(busyPause, c.balancer.Wake)
+		c.model.schedule(busyBackoff, c.balancer.Wake)
 	}
 	r.tries++
 	if result != ResultAnswered && r.tries < 4 && c.model.now-r.arrived < modelDeadline {
@@ -63,33 +63,33 @@
 	}
 }
 
-func (c *chosen) gossip() {
-	var uses []PeerUse
-	c.told, _ = c.balancer.Use()
+func (c *balancerPolicy) gossip() {
+	var uses []PeerUsage
+	c.published, _ = c.balancer.Usage()
 	for _, h := range c.model.hosts {
-		if other, ok := h.(*chosen); ok && other != c {
-			uses = append(uses, other.told)
+		if other, ok := h.(*balancerPolicy); ok && other != c {
+			uses = append(uses, other.published)
 		}
 	}
-	c.balancer.Heard(uses)
+	c.balancer.UpdatePeers(uses)
 }
 
 // simple is a policy without shares: pick says which runner is next, and a
 // queue of at most limit requests waits where a limit on own use is set.
 type simple struct {
-	model    *model
-	inFlight []int
-	others   []int
-	next     int
-	waiting  []*modelRequest
-	limit    int
-	bound    int
-	pick     func(s *simple) int
+	model         *model
+	inFlight      []int
+	others        []int
+	next          int
+	waiting       []*modelRequest
+	queueLimit    int
+	inFlightLimit int
+	pick          func(s *simple) int
 }
 
 func (s *simple) arrive(r *modelRequest) {
-	if s.bound > 0 && s.total() >= s.bound {
-		if len(s.waiting) < s.limit {
+	if s.inFlightLimit > 0 && s.total() >= s.inFlightLimit {
+		if len(s.waiting) < s.queueLimit {
 			s.waiting = append(s.waiting, r)
 		}
 		return
@@ -114,10 +114,10 @@
 func (s *simple) finished(r *modelRequest, runner int, result Result) {
 	s.inFlight[runner]--
 	if result != ResultAnswered && s.model.now-r.arrived < modelDeadline {
-		s.model.at(modelPause, func() { s.send(r) })
+		s.model.schedule(modelRetryDelay, func() { s.send(r) })
 		return
 	}
-	for len(s.waiting) > 0 && s.total() < s.bound {
+	for len(s.waiting) > 0 && s.total() < s.inFlightLimit {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		if s.model.now-next.arrived < modelDeadline {
@@ -141,7 +141,7 @@
 
 func simplePolicy(bound, limit int, pick func(s *simple) int) func(m *model, self int) dispatcher {
 	return func(m *model, _ int) dispatcher {
-		return &simple{model: m, inFlight: make([]int, m.scenario.runners), others: make([]int, m.scenario.runners), bound: bound, limit: limit, pick: pick}
+		return &simple{model: m, inFlight: make([]int, m.scenario.runners), others: make([]int, m.scenario.runners), inFlightLimit: bound, queueLimit: limit, pick: pick}
 	}
 }
 
@@ -152,7 +152,7 @@
 	return s.next % len(s.inFlight)
 }
 
-func pickTwoOwn(s *simple) int {
+func pickTwoOwnCounts(s *simple) int {
 	a, b := pickRandom(s), pickRandom(s)
 	if s.inFlight[a] <= s.inFlight[b] {
 		return a
@@ -160,7 +160,7 @@
 	return b
 }
 
-func pickTwoGossip(s *simple) int {
+func pickTwoAllCounts(s *simple) int {
 	a, b := pickRandom(s), pickRandom(s)
 	if s.inFlight[a]+s.others[a] <= s.inFlight[b]+s.others[b] {
 		return a
@@ -173,27 +173,27 @@
 type central struct {
 	model   *model
 	shared  *centralQueue
-	limited time.Duration
+	maxWait time.Duration
 }
 
 type centralQueue struct {
-	waiting []*modelRequest
-	working []int
+	waiting  []*modelRequest
+	inFlight []int
 }
 
 func centralPolicy() func(m *model, self int) dispatcher {
 	shared := &centralQueue{}
 	return func(m *model, _ int) dispatcher {
-		if len(shared.working) == 0 {
-			shared.working = make([]int, m.scenario.runners)
+		if len(shared.inFlight) == 0 {
+			shared.inFlight = make([]int, m.scenario.runners)
 		}
-		return &central{model: m, shared: shared, limited: modelDeadline * 3 / 25}
+		return &central{model: m, shared: shared, maxWait: modelDeadline * 3 / 25}
 	}
 }
 
 func (c *central) arrive(r *modelRequest) {
 	slots := float64(c.model.scenario.runners * modelSlots)
-	if wait := time.Duration(float64(len(c.shared.waiting)) * float64(modelMean) / slots); wait > c.limited {
+	if wait := time.Duration(float64(len(c.shared.waiting)) * float64(modelMean) / slots); wait > c.maxWait {
 		return
 	}
 	c.shared.waiting = append(c.shared.waiting, r)
@@ -201,18 +201,18 @@
 }
 
 func (c *central) grant() {
-	for i, n := range c.shared.working {
+	for i, n := range c.shared.inFlight {
 		if len(c.shared.waiting) > 0 && n < modelSlots {
 			r := c.shared.waiting[0]
 			c.shared.waiting = c.shared.waiting[1:]
-			c.shared.working[i]++
+			c.shared.inFlight[i]++
 			c.model.dispatch(r, i)
 		}
 	}
 }
 
 func (c *central) finished(_ *modelRequest, runner int, _ Result) {
-	c.shared.working[runner]--
+	c.shared.inFlight[runner]--
 	c.grant()
 }
 
--- a/mfroute/router.go
+++ b/mfroute/router.go
@@ -12,9 +12,9 @@
 	"mothferry/mfsnapshot"
 )
 
-// missedHeartbeats is how many heartbeats in a row a daemon may miss before
+// maxMissedHeartbeats is how many heartbeats in a row a daemon may miss before
 // the others take over its shares.
-const missedHeartbeats = 4
+const maxMissedHeartbeats = 4
 
 // Peers is what the router needs of the mesh.
 type Peers interface {
@@ -59,7 +59,7 @@
 			snapshot, members = current, now
 			r.refresh(members)
 		}
-		r.heard()
+		r.updatePeers()
 		select {
 		case <-ctx.Done():
 			r.stop()
@@ -90,9 +90,9 @@
 // Statuses returns what this daemon tells its peers of each service that is not idle here.
 func (r *Router) Statuses() map[mothferry.ServiceID]mfpeer.ServiceStatus {
 	out := map[mothferry.ServiceID]mfpeer.ServiceStatus{}
-	for id, s := range r.all() {
+	for id, s := range r.allServices() {
 		s.mutex.Lock()
-		use, idle := s.balancer.Use()
+		use, idle := s.balancer.Usage()
 		s.mutex.Unlock()
 		if idle {
 			continue
@@ -110,7 +110,7 @@
 		tasks[k.Task] = true
 	}
 	count := 0
-	for _, s := range r.all() {
+	for _, s := range r.allServices() {
 		s.mutex.Lock()
 		count += s.balancer.InFlightLeaving(tasks)
 		s.mutex.Unlock()
@@ -120,7 +120,7 @@
 
 // Stop refuses everything that waits and everything to come.
 func (r *Router) stop() {
-	for _, s := range r.all() {
+	for _, s := range r.allServices() {
 		s.mutex.Lock()
 		s.balancer.Stop()
 		s.mutex.Unlock()
@@ -131,7 +131,7 @@
 // first, since a daemon that believed itself alone until it has heard the
 // others would overrun every runner; later those that are heard.
 func (r *Router) members() []mothferry.DaemonID {
-	bound := missedHeartbeats * r.Heartbeat
+	bound := maxMissedHeartbeats * r.Heartbeat
 	if r.Clock.Now().Sub(r.started) < bound {
 		return r.EntryHosts
 	}
@@ -162,21 +162,21 @@
 	}
 }
 
-// heard passes on to each balancer what the data centre's other daemons say.
-func (r *Router) heard() {
-	live := r.Peers.Live(missedHeartbeats * r.Heartbeat)
-	for id, s := range r.all() {
-		var uses []PeerUse
+// updatePeers passes on to each balancer what the data centre's other daemons say.
+func (r *Router) updatePeers() {
+	live := r.Peers.Live(maxMissedHeartbeats * r.Heartbeat)
+	for id, s := range r.allServices() {
+		var uses []PeerUsage
 		for _, p := range live {
 			if p.Peer.DataCentre != r.DataCentre {
 				continue
 			}
 			if status, ok := p.Status.Services[id]; ok {
-				uses = append(uses, PeerUse{Daemon: p.Peer.Daemon, Queued: status.Queued, Demand: status.Demand, InFlight: status.InFlight})
+				uses = append(uses, PeerUsage{Daemon: p.Peer.Daemon, Queued: status.Queued, Demand: status.Demand, InFlight: status.InFlight})
 			}
 		}
 		s.mutex.Lock()
-		s.balancer.Heard(uses)
+		s.balancer.UpdatePeers(uses)
 		s.mutex.Unlock()
 	}
 }
@@ -188,7 +188,7 @@
 	return s, ok
 }
 
-func (r *Router) all() map[mothferry.ServiceID]*service {
+func (r *Router) allServices() map[mothferry.ServiceID]*service {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	out := make(map[mothferry.ServiceID]*service, len(r.services))
--- a/mfroute/runner.go
+++ b/mfroute/runner.go
@@ -34,17 +34,17 @@
 	maxEjection   = 15 * time.Second
 )
 
-// lostToEject is how many lost connections in a row eject a runner. One alone
+// ejectAfterLosses is how many lost connections in a row eject a runner. One alone
 // may be the fault of a single request; a failed connect ejects at once.
-const lostToEject = 3
+const ejectAfterLosses = 3
 
-// busyPause is how long a runner that refused for want of a slot is not
+// busyBackoff is how long a runner that refused for want of a slot is not
 // chosen again.
-const busyPause = 20 * time.Millisecond
+const busyBackoff = 20 * time.Millisecond
 
 // runner is one runner as this daemon sees it.
 type runner struct {
-	placed mfplacement.Runner
+	placement mfplacement.Runner
 	// inFlight counts this daemon's requests there, and share its own slots.
 	inFlight int
 	share    int
@@ -54,78 +54,78 @@
 	// that a runner which fails again costs few requests. It starts at one and
 	// grows with each answer, and with the time since began, the first request
 	// sent: answers alone would hold back a service whose requests are slow.
-	window int
-	began  time.Time
-	// others is what the other daemons last said they had in flight.
-	others int
-	// leaving is the runner's own word, which outruns the published placement.
-	leaving bool
-	// lost counts lost connections, and ejections those in a row.
-	lost         int
-	ejections    int
-	ejectedUntil time.Time
-	busyUntil    time.Time
+	window      int
+	firstSentAt time.Time
+	// peersInFlight is what the other daemons last said they had in flight.
+	peersInFlight int
+	// reportedLeaving is the runner's own word, which outruns the published placement.
+	reportedLeaving bool
+	// consecutiveLosses counts lost connections, and ejections those in a row.
+	consecutiveLosses    int
+	consecutiveEjections int
+	ejectedUntil         time.Time
+	busyUntil            time.Time
 }
 
 // usable reports whether new requests may be sent to the runner at all.
 func (r *runner) usable(now time.Time) bool {
-	return r.placed.State == mfplacement.StateServing && !r.leaving && !now.Before(r.ejectedUntil)
+	return r.placement.State == mfplacement.StateServing && !r.reportedLeaving && !now.Before(r.ejectedUntil)
 }
 
-// windowStep is the time in which the window of a runner grows by one without an answer.
-const windowStep = 25 * time.Millisecond
+// windowGrowthInterval is the time in which the window of a runner grows by one without an answer.
+const windowGrowthInterval = 25 * time.Millisecond
 
-// bound returns how many requests this daemon may have in flight there,
+// inFlightLimit returns how many requests this daemon may have in flight there,
 // whatever its share.
-func (r *runner) bound(now time.Time) int {
+func (r *runner) inFlightLimit(now time.Time) int {
 	window := r.window
-	if !r.began.IsZero() {
-		window += int(now.Sub(r.began) / windowStep)
+	if !r.firstSentAt.IsZero() {
+		window += int(now.Sub(r.firstSentAt) / windowGrowthInterval)
 	}
 	return min(window, r.connections)
 }
 
-// free returns how many more requests fit into this daemon's own share.
-func (r *runner) free(now time.Time) int {
-	return min(r.share, r.bound(now)) - r.inFlight
+// freeInShare returns how many more requests fit into this daemon's own share.
+func (r *runner) freeInShare(now time.Time) int {
+	return min(r.share, r.inFlightLimit(now)) - r.inFlight
 }
 
-// spare estimates how many slots of the runner nobody uses.
-func (r *runner) spare() int {
-	return int(r.placed.Slots) - r.inFlight - r.others
+// idleSlots estimates how many slots of the runner nobody uses.
+func (r *runner) idleSlots() int {
+	return int(r.placement.Slots) - r.inFlight - r.peersInFlight
 }
 
-// ownRoom returns how many more requests this daemon may send there within its share.
-func (r *runner) ownRoom(now time.Time, exclude map[mothferry.TaskID]bool) int {
-	if !r.usable(now) || exclude[r.placed.Task] || now.Before(r.busyUntil) {
+// freeOwnSlots returns how many more requests this daemon may send there within its share.
+func (r *runner) freeOwnSlots(now time.Time, exclude map[mothferry.TaskID]bool) int {
+	if !r.usable(now) || exclude[r.placement.Task] || now.Before(r.busyUntil) {
 		return 0
 	}
-	return r.free(now)
+	return r.freeInShare(now)
 }
 
-// borrowRoom returns how many slots there seem to be used by nobody.
-func (r *runner) borrowRoom(now time.Time, exclude map[mothferry.TaskID]bool) int {
-	if !r.usable(now) || exclude[r.placed.Task] || now.Before(r.busyUntil) || r.inFlight >= r.bound(now) {
+// borrowableSlots returns how many slots there seem to be used by nobody.
+func (r *runner) borrowableSlots(now time.Time, exclude map[mothferry.TaskID]bool) int {
+	if !r.usable(now) || exclude[r.placement.Task] || now.Before(r.busyUntil) || r.inFlight >= r.inFlightLimit(now) {
 		return 0
 	}
-	return r.spare()
+	return r.idleSlots()
 }
 
-// note takes the end of a dispatch into the runner's health.
-func (r *runner) note(result Result, now time.Time, random mothferry.Random) {
+// recordResult takes the end of a dispatch into the runner's health.
+func (r *runner) recordResult(result Result, now time.Time, random mothferry.Random) {
 	switch result {
 	case ResultAnswered:
-		r.lost, r.ejections = 0, 0
-		r.window = min(r.window+1, int(r.placed.Slots))
+		r.consecutiveLosses, r.consecutiveEjections = 0, 0
+		r.window = min(r.window+1, int(r.placement.Slots))
 	case ResultBusy:
-		r.busyUntil = now.Add(busyPause)
+		r.busyUntil = now.Add(busyBackoff)
 	case ResultLeaving:
-		r.leaving = true
+		r.reportedLeaving = true
 	case ResultConnectFailed:
 		r.eject(now, random)
 	case ResultLost:
-		r.lost++
-		if r.lost >= lostToEject {
+		r.consecutiveLosses++
+		if r.consecutiveLosses >= ejectAfterLosses {
 			r.eject(now, random)
 		}
 	case ResultNeutral:
@@ -138,10 +138,10 @@
 	if now.Before(r.ejectedUntil) {
 		return
 	}
-	pause := min(firstEjection<<min(r.ejections, 16), maxEjection)
+	pause := min(firstEjection<<min(r.consecutiveEjections, 16), maxEjection)
 	pause += time.Duration(random.Float64() * float64(pause) / 2)
 	r.ejectedUntil = now.Add(pause)
-	r.ejections++
-	r.lost = 0
-	r.window, r.began = 1, time.Time{}
+	r.consecutiveEjections++
+	r.consecutiveLosses = 0
+	r.window, r.firstSentAt = 1, time.Time{}
 }
--- a/mfroute/service.go
+++ b/mfroute/service.go
@@ -15,11 +15,11 @@
 // Request is what routing needs to know of a caller's request. Its deadline
 // is that of the context it is acquired with.
 type Request struct {
-	Customer mothferry.CustomerID
-	Priority mfadmit.Priority
-	Exclude  map[mothferry.TaskID]bool
-	Again    bool
-	Retry    bool
+	Customer  mothferry.CustomerID
+	Priority  mfadmit.Priority
+	Exclude   map[mothferry.TaskID]bool
+	Reattempt bool
+	Retry     bool
 }
 
 // service shares one service's balancer between requests.
@@ -39,7 +39,7 @@
 	decided := make(chan decision, 1)
 	deadline, _ := ctx.Deadline()
 	t := &Ticket{
-		Customer: q.Customer, Priority: q.Priority, Deadline: deadline, Exclude: q.Exclude, Again: q.Again, Retry: q.Retry,
+		Customer: q.Customer, Priority: q.Priority, Deadline: deadline, Exclude: q.Exclude, Reattempt: q.Reattempt, Retry: q.Retry,
 		Decide: func(l *Lease, err error) { decided <- decision{l, err} },
 	}
 	s.mutex.Lock()
@@ -77,7 +77,7 @@
 	defer s.mutex.Unlock()
 	s.balancer.Release(l, result)
 	if result == ResultBusy {
-		go s.wakeAfter(busyPause)
+		go s.wakeAfter(busyBackoff)
 	}
 }
 
--- a/mfroute/share.go
+++ b/mfroute/share.go
@@ -15,7 +15,7 @@
 func Rank[T ~string](key string, names []T) []T {
 	weights := make(map[T]uint64, len(names))
 	for _, n := range names {
-		weights[n] = weight(key, string(n))
+		weights[n] = rankWeight(key, string(n))
 	}
 	ranked := append([]T{}, names...)
 	sort.Slice(ranked, func(i, j int) bool {
@@ -27,7 +27,7 @@
 	return ranked
 }
 
-func weight(key, name string) uint64 {
+func rankWeight(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key))
 	_, _ = h.Write([]byte{0})
@@ -68,7 +68,7 @@
 			left -= given[j]
 		}
 		for ; left > 0; left-- {
-			given[neediest(due, given)]++
+			given[largestDeficit(due, given)]++
 		}
 		for j, m := range members {
 			due[j] -= float64(given[j])
@@ -80,14 +80,14 @@
 	return own
 }
 
-// rounding is far above the error of the sums in Shares and far below a slot.
-const rounding = 1e-9
+// roundingTolerance is far above the error of the sums in Shares and far below a slot.
+const roundingTolerance = 1e-9
 
-// neediest returns the member that is owed most, the first of several.
-func neediest(due []float64, given []int) int {
+// largestDeficit returns the member that is owed most, the first of several.
+func largestDeficit(due []float64, given []int) int {
 	best := 0
 	for j := range due {
-		if due[j]-float64(given[j]) > due[best]-float64(given[best])+rounding {
+		if due[j]-float64(given[j]) > due[best]-float64(given[best])+roundingTolerance {
 			best = j
 		}
 	}
