--- a/mfduty/incarnation.go
+++ b/mfduty/incarnation.go
@@ -73,7 +73,7 @@
 func (t *IncarnationTracker) lost(present map[mothferry.WorkerID]bool, loads map[mothferry.WorkerID]mfsched.Load, now time.Time) []mfsched.IncarnationEnded {
 	var ended []mfsched.IncarnationEnded
 	for id, load := range loads {
-		responsive := load.Known && !load.Failing
+		responsive := load.Known && !load.Unresponsive
 		if present[id] || load.Tasks == 0 || responsive {
 			delete(t.missingSince, id)
 			continue
--- a/mfduty/incarnation_test.go
+++ b/mfduty/incarnation_test.go
@@ -31,7 +31,7 @@
 // whose machine is listed without a worker id for a moment, does not end.
 func TestListedIncarnationContinues(t *testing.T) {
 	var tracker mfduty.IncarnationTracker
-	loads := map[mothferry.WorkerID]mfsched.Load{"w-1": {Tasks: 1, Failing: true}}
+	loads := map[mothferry.WorkerID]mfsched.Load{"w-1": {Tasks: 1, Unresponsive: true}}
 	for d := time.Duration(0); d < 5*time.Second; d += 200 * time.Millisecond {
 		assert.Equal(t, len(tracker.Ended([]mothferry.Machine{up("m-1", "w-1")}, loads, start.Add(d))), 0)
 	}
@@ -68,7 +68,7 @@
 	for d := time.Duration(0); d < 3*time.Second; d += 200 * time.Millisecond {
 		assert.Equal(t, len(tracker.Ended(lists[int(d/time.Second)%2], loads, start.Add(d))), 0, "after %v", d)
 	}
-	loads["w-1"] = mfsched.Load{Tasks: 2, Known: true, Failing: true}
+	loads["w-1"] = mfsched.Load{Tasks: 2, Known: true, Unresponsive: true}
 	assert.Equal(t, len(tracker.Ended(nil, loads, start.Add(3*time.Second))), 0)
 	assert.DeepEqual(t, tracker.Ended(nil, loads, start.Add(4*time.Second)), []mfsched.IncarnationEnded{{Worker: "w-1", Cause: mfsched.IncarnationEndUnknown}})
 }
--- a/mfduty/move.go
+++ b/mfduty/move.go
@@ -25,7 +25,7 @@
 // idle reports whether a worker is known to run nothing.
 func (f Fleet) idle(worker mothferry.WorkerID) bool {
 	l := f.Loads[worker]
-	return l.Known && l.Tasks == 0 && !l.Failing
+	return l.Known && l.Tasks == 0 && !l.Unresponsive
 }
 
 // planMoves starts moves: to pools that have too few machines, from standby first and then
@@ -164,7 +164,7 @@
 	case op != nil && op.call.Kind == KindMaintenance:
 		return false
 	case m.State == mothferry.MachineUp:
-		return !f.Loads[m.Worker].Failing
+		return !f.Loads[m.Worker].Unresponsive
 	default:
 		return m.State == mothferry.MachineMoving
 	}
@@ -213,7 +213,7 @@
 	for _, m := range f.Machines {
 		if l, known := f.Loads[m.Worker]; known {
 			total[m.DataCentre]++
-			if l.Failing {
+			if l.Unresponsive {
 				unresponsive[m.DataCentre]++
 			}
 		}
--- a/mfsched/load.go
+++ b/mfsched/load.go
@@ -14,8 +14,8 @@
 	// Tasks counts all tasks that are, or may be, there; Lasting the lasting ones.
 	Tasks   int
 	Lasting int
-	// Failing says that the worker did not answer the last poll.
-	Failing bool
+	// Unresponsive says that the worker did not answer the last poll.
+	Unresponsive bool
 	// Used is the fraction of its cores that tasks reserve, from 0 to 1.
 	Used float64
 	// Speed is the worker's speed relative to its peers: 1 unless the worker is degraded, zero
@@ -35,7 +35,7 @@
 func (s *State) Loads() map[mothferry.WorkerID]Load {
 	loads := map[mothferry.WorkerID]Load{}
 	for id, w := range s.workers {
-		l := Load{Service: w.Service, Known: w.fenced, Tasks: len(w.tasks), Failing: w.unresponsive}
+		l := Load{Service: w.Service, Known: w.fenced, Tasks: len(w.tasks), Unresponsive: w.unresponsive}
 		for _, t := range w.tasks {
 			if t.step.spec.Lasting {
 				l.Lasting++
--- a/mfsched/speed.go
+++ b/mfsched/speed.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if t.track.Advance(t.percent, t.step.spec.Estimate, w.clock) {
-		s.kinds.Record(t.runInfo(w), &t.track, now)
+		s.baselines.Record(t.runInfo(w), &t.track, now)
 	}
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	if w.lastAnswer.hasClock && !w.lastAnswer.delayed && !w.lastAnswer.pollLate && t.track.End(t.step.spec.Estimate, w.clock) {
-		s.kinds.Record(t.runInfo(w), &t.track, now)
+		s.baselines.Record(t.runInfo(w), &t.track, now)
 	}
 	w.speed.Add(&t.track)
 }
@@ -88,7 +88,7 @@
 	s.lastClassified = now
 	if now.Sub(s.lastBaselineExpiry) >= baselineExpiryInterval {
 		s.lastBaselineExpiry = now
-		s.kinds.Expire(now)
+		s.baselines.Expire(now)
 	}
 	pools := map[mothferry.ServiceID]mfstraggler.Pool{}
 	for _, w := range s.sortedWorkers {
--- a/mfsched/state.go
+++ b/mfsched/state.go
@@ -216,9 +216,9 @@
 	// arrivals holds the work that arrived lately, by service.
 	arrivals map[mothferry.ServiceID]*mfdemand.Arrivals
 
-	// kinds holds the baseline of each class of tasks; evidence is reused for each worker.
-	kinds    mfspeed.Baselines
-	evidence mfspeed.Evidence
+	// baselines holds the baseline of each class of tasks; evidence is reused for each worker.
+	baselines mfspeed.Baselines
+	evidence  mfspeed.Evidence
 	// lastClassified is when the workers' speeds were last classified, lastBaselineExpiry when
 	// old runs were last expired, anySlow whether any worker counts as slow.
 	lastClassified, lastBaselineExpiry time.Time
--- a/mfsched/straggler.go
+++ b/mfsched/straggler.go
@@ -285,7 +285,7 @@
 	corrected.Steps = slices.Clone(corrected.Steps)
 	for i := range corrected.Steps {
 		spec := &corrected.Steps[i]
-		if expected, known := s.kinds.Expected(speedClassOf(j, i, false), spec.Estimate); known {
+		if expected, known := s.baselines.Expected(speedClassOf(j, i, false), spec.Estimate); known {
 			spec.Estimate = expected
 		}
 	}
@@ -300,7 +300,7 @@
 	if s.Off[mothferry.FeatureStragglers] || !t.measuresSpeed() || t.stuckStops > 0 || t.checkpoint != "" {
 		return timeout
 	}
-	expected, known := s.kinds.Expected(t.speedClass(t.worker), t.step.spec.Estimate)
+	expected, known := s.baselines.Expected(t.speedClass(t.worker), t.step.spec.Estimate)
 	if !known {
 		return timeout
 	}
