--- a/mfsession/session.go
+++ b/mfsession/session.go
@@ -53,12 +53,12 @@
 type connection struct {
 	net.Conn
 
-	once      sync.Once
-	announced chan struct{}
+	once          sync.Once
+	sessionClosed chan struct{}
 }
 
 func newConnection(c net.Conn) *connection {
-	return &connection{Conn: c, announced: make(chan struct{})}
+	return &connection{Conn: c, sessionClosed: make(chan struct{})}
 }
 
 // Write implements net.Conn. After an error it returns only once the receiving goroutine has ended the
@@ -67,13 +67,13 @@
 	n, err := c.Conn.Write(data)
 	if err != nil {
 		_ = c.Conn.Close()
-		<-c.announced
+		<-c.sessionClosed
 	}
 	return n, err
 }
 
 // Close implements net.Conn; a session calls it as it ends.
 func (c *connection) Close() error {
-	c.once.Do(func() { close(c.announced) })
+	c.once.Do(func() { close(c.sessionClosed) })
 	return c.Conn.Close()
 }
--- a/mfsession/session_test.go
+++ b/mfsession/session_test.go
@@ -21,39 +21,39 @@
 	"mothferry/mfsession"
 )
 
-// endTakes is how long a read takes to return after its connection has ended.
-const endTakes = 300 * time.Millisecond
+// readDelay is how long a read takes to return after its connection has ended.
+const readDelay = 300 * time.Millisecond
 
 var errBroken = errors.New("the connection is broken")
 
-// lateConnection is a connection whose reads return late once it has ended.
-type lateConnection struct {
+// slowConnection is a connection whose reads return late once it has ended.
+type slowConnection struct {
 	net.Conn
 
 	broken atomic.Bool
 }
 
-func (c *lateConnection) Read(data []byte) (int, error) {
+func (c *slowConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if err != nil {
-		time.Sleep(endTakes)
+		time.Sleep(readDelay)
 	}
 	return n, err
 }
 
-func (c *lateConnection) Write(data []byte) (int, error) {
+func (c *slowConnection) Write(data []byte) (int, error) {
 	if c.broken.Load() {
 		return 0, errBroken
 	}
 	return c.Conn.Write(data)
 }
 
-// blocked returns a session of which one stream's read is blocked, its connection, the other side, and a
+// newBlockedRead returns a session of which one stream's read is blocked, its connection, the other side, and a
 // channel that is closed when the read has ended.
-func blocked(t *testing.T) (*mfsession.Session, *lateConnection, *mfsession.Session, <-chan struct{}) {
+func newBlockedRead(t *testing.T) (*mfsession.Session, *slowConnection, *mfsession.Session, <-chan struct{}) {
 	t.Helper()
 	near, far := net.Pipe()
-	late := &lateConnection{Conn: near}
+	late := &slowConnection{Conn: near}
 	config := yamux.DefaultConfig()
 	config.LogOutput, config.EnableKeepAlive = io.Discard, false
 	client, err := mfsession.Client(late, config)
@@ -75,7 +75,7 @@
 	return client, late, server, read
 }
 
-func processorTime(t *testing.T) time.Duration {
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var u syscall.Rusage
 	assert.NilError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
@@ -83,26 +83,26 @@
 }
 
 // A blocked read must not use a core until its session has ended.
-func TestEndOfASessionUsesNoProcessor(t *testing.T) {
-	for name, end := range map[string]func(t *testing.T, s *mfsession.Session, c *lateConnection, other *mfsession.Session){
-		"by our own close": func(t *testing.T, s *mfsession.Session, _ *lateConnection, _ *mfsession.Session) {
+func TestSessionEndUsesNoCPU(t *testing.T) {
+	for name, end := range map[string]func(t *testing.T, s *mfsession.Session, c *slowConnection, other *mfsession.Session){
+		"by our own close": func(t *testing.T, s *mfsession.Session, _ *slowConnection, _ *mfsession.Session) {
 			assert.NilError(t, s.Close())
 		},
-		"by the other side": func(t *testing.T, _ *mfsession.Session, _ *lateConnection, other *mfsession.Session) {
+		"by the other side": func(t *testing.T, _ *mfsession.Session, _ *slowConnection, other *mfsession.Session) {
 			assert.NilError(t, other.Close())
 		},
-		"by a write error": func(_ *testing.T, s *mfsession.Session, c *lateConnection, _ *mfsession.Session) {
+		"by a write error": func(_ *testing.T, s *mfsession.Session, c *slowConnection, _ *mfsession.Session) {
 			c.broken.Store(true)
 			_, _ = s.Ping()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			session, connection, other, read := blocked(t)
-			before := processorTime(t)
+			session, connection, other, read := newBlockedRead(t)
+			before := cpuTime(t)
 			end(t, session, connection, other)
 			<-read
-			used := processorTime(t) - before
-			assert.Assert(t, used < endTakes/3, "%v of processor time", used)
+			used := cpuTime(t) - before
+			assert.Assert(t, used < readDelay/3, "%v of processor time", used)
 			assert.NilError(t, session.Close())
 			assert.NilError(t, other.Close())
 			assert.Assert(t, session.IsClosed())
@@ -111,9 +111,9 @@
 }
 
 // Closing a session at once and from many sides must not wait for good.
-func TestSessionClosesFromManySides(t *testing.T) {
+func TestConcurrentClose(t *testing.T) {
 	for range 5 {
-		session, connection, other, read := blocked(t)
+		session, connection, other, read := newBlockedRead(t)
 		connection.broken.Store(true)
 		closed := make(chan struct{}, 4)
 		for _, s := range []*mfsession.Session{session, session, other, other} {
@@ -131,7 +131,7 @@
 }
 
 // A session that is used beside this package would use a core as it ends.
-func TestSessionsBeginHereAlone(t *testing.T) {
+func TestOnlyThisPackageCreatesSessions(t *testing.T) {
 	err := filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || filepath.Dir(path) == "../mfsession" {
 			return err
@@ -142,15 +142,15 @@
 		}
 		for _, name := range []string{"yamux.Client", "yamux.Server"} {
 			source, selector, _ := strings.Cut(name, ".")
-			assert.Check(t, !selects(file, source, selector), "%s begins a session by %s", path, name)
+			assert.Check(t, !hasSelector(file, source, selector), "%s begins a session by %s", path, name)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
 }
 
-// selects reports whether a file names something of a package.
-func selects(file *ast.File, source, name string) bool {
+// hasSelector reports whether a file names something of a package.
+func hasSelector(file *ast.File, source, name string) bool {
 	found := false
 	ast.Inspect(file, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok && s.Sel.Name == name {
