--- a/mfsetting/setting.go
+++ b/mfsetting/setting.go
@@ -211,16 +211,16 @@
 	if _, err := netip.ParseAddr(address.Hostname()); err != nil {
 		text.Reject("platform.url", "must have an IP number as its host, not %q", address.Hostname())
 	}
-	positive(text, "platform.timeout", s.Platform.Timeout)
+	checkPositive(text, "platform.timeout", s.Platform.Timeout)
 }
 
 func (s *Settings) checkTiming(text *mfyaml.Text) {
-	positive(text, "timing.heartbeat", s.Timing.Heartbeat)
-	positive(text, "timing.poll", s.Timing.Poll)
-	positive(text, "timing.control", s.Timing.Control)
-	positive(text, "timing.lease", s.Timing.Lease)
-	positive(text, "timing.notice", s.Timing.Notice)
-	positive(text, "timing.connect", s.Timing.Connect)
+	checkPositive(text, "timing.heartbeat", s.Timing.Heartbeat)
+	checkPositive(text, "timing.poll", s.Timing.Poll)
+	checkPositive(text, "timing.control", s.Timing.Control)
+	checkPositive(text, "timing.lease", s.Timing.Lease)
+	checkPositive(text, "timing.notice", s.Timing.Notice)
+	checkPositive(text, "timing.connect", s.Timing.Connect)
 	if s.Timing.Unready < 0 {
 		text.Reject("timing.unready", "must not be negative")
 	}
@@ -249,9 +249,9 @@
 	if s.Limits.Queue <= 0 {
 		text.Reject("limits.queue", "must be above 0")
 	}
-	share(text, "limits.retry_ratio", s.Limits.RetryRatio)
-	share(text, "limits.eject_share", s.Limits.EjectShare)
-	positive(text, "limits.ledger_keep", s.Limits.LedgerKeep)
+	checkFraction(text, "limits.retry_ratio", s.Limits.RetryRatio)
+	checkFraction(text, "limits.eject_share", s.Limits.EjectShare)
+	checkPositive(text, "limits.ledger_keep", s.Limits.LedgerKeep)
 }
 
 func (s *Settings) checkLog(text *mfyaml.Text) {
@@ -297,13 +297,13 @@
 	}
 }
 
-func positive(text *mfyaml.Text, field string, d time.Duration) {
+func checkPositive(text *mfyaml.Text, field string, d time.Duration) {
 	if d <= 0 {
 		text.Reject(field, "must be above 0")
 	}
 }
 
-func share(text *mfyaml.Text, field string, f float64) {
+func checkFraction(text *mfyaml.Text, field string, f float64) {
 	if f < 0 || f > 1 {
 		text.Reject(field, "must be from 0 to 1")
 	}
--- a/mfsetting/setting_test.go
+++ b/mfsetting/setting_test.go
@@ -12,7 +12,7 @@
 	"mothferry/mfyaml"
 )
 
-const good = `daemon: entry-1
+const validSettings = `daemon: entry-1
 data_centre: dc1
 listen:
   callers: 127.0.0.1:7300
@@ -26,7 +26,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse("good.yaml", []byte(good))
+	s, err := Parse("good.yaml", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Timing.Notice, 3*time.Second)
 	assert.DeepEqual(t, s.EntryHosts(), []mothferry.DaemonID{"entry-1", "entry-2"})
@@ -35,7 +35,7 @@
 // TestRolesAreSeparate: symptom, a daemon whose entry is switched off holds no
 // shard either. Cause: both defaults were the same variable.
 func TestRolesAreSeparate(t *testing.T) {
-	s, err := Parse("good.yaml", []byte(good+"roles: {entry: false}\n"))
+	s, err := Parse("good.yaml", []byte(validSettings+"roles: {entry: false}\n"))
 	assert.NilError(t, err)
 	assert.Assert(t, !s.Roles.Entry && s.Roles.Control)
 }
@@ -66,8 +66,8 @@
 		{"mapping for value", "daemon: entry-1", "daemon: {a: b}", 1, "daemon", "single value"},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			text := strings.Replace(good, k.from, k.to, 1)
-			assert.Assert(t, text != good)
+			text := strings.Replace(validSettings, k.from, k.to, 1)
+			assert.Assert(t, text != validSettings)
 			_, err := Parse("bad.yaml", []byte(text))
 			var invalid *mfyaml.ErrInvalid
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
@@ -82,7 +82,7 @@
 
 // FuzzParse shows that no text makes the parser panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("a: &x [*x]"))
 	f.Add([]byte("---\n---\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
