--- a/mfsnapshot/store_test.go
+++ b/mfsnapshot/store_test.go
@@ -29,10 +29,10 @@
 	return d
 }
 
-// TestInForceNeverGoesBack delivers changes in any order, with losses and
+// TestRevisionNeverDecreases delivers changes in any order, with losses and
 // repetitions. At each step the revision must not fall, and the documents in
 // force must be exactly those of that revision, none skipped or mixed.
-func TestInForceNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		names := []mothferry.ServiceID{"a", "b", "c"}
 		h := history(rapid.SliceOfN(rapid.SampledFrom(names), 1, 12).Draw(t, "history"))
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestPlacementNeverGoesBack does the same for placements of several pools.
-func TestPlacementNeverGoesBack(t *testing.T) {
+// TestPlacementGenerationNeverDecreases does the same for placements of several pools.
+func TestPlacementGenerationNeverDecreases(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		store := NewStore()
 		highest := map[mothferry.PoolID]mothferry.Generation{}
