--- a/mfdemo/jobs.go
+++ b/mfdemo/jobs.go
@@ -41,7 +41,7 @@
 // stops the one that owns them halfway, and waits until all are completed.
 func (d *Demo) runJobs(ctx context.Context) ([]checkResult, error) {
 	rows := &mfstandin.Rows{}
-	worker := &mfstandin.TaskWorker{Service: jobService, Takes: demoTaskTime, Cores: 64_000, Clock: d.Clock}
+	worker := &mfstandin.TaskWorker{Service: jobService, TaskTime: demoTaskTime, Cores: 64_000, Clock: d.Clock}
 	var hosts []jobHost
 	for i := range 2 {
 		h, err := d.startJobHost(ctx, mothferry.DaemonID(fmt.Sprintf("jobs-%d", i+1)), rows, worker)
@@ -75,9 +75,9 @@
 	if err := <-hosts[0].done; err != nil {
 		return nil, err
 	}
-	twice := worker.Twice()
+	twice := worker.StartedTwice()
 	return []checkResult{
-		{"jobs completed over a planned stop", fmt.Sprintf("%d jobs, %d tasks, %d ms", demoJobs, worker.Ran(), took.Milliseconds()), true},
+		{"jobs completed over a planned stop", fmt.Sprintf("%d jobs, %d tasks, %d ms", demoJobs, worker.EndedTasks(), took.Milliseconds()), true},
 		{"no task of a job ran twice", fmt.Sprintf("%d did", len(twice)), len(twice) == 0},
 	}, nil
 }
--- a/mfemulate/store.go
+++ b/mfemulate/store.go
@@ -61,7 +61,7 @@
 		return false
 	}
 	// Nothing follows the changes.
-	w.rows.Forget()
+	w.rows.DropHistory()
 	o.headVersion = version
 	return true
 }
--- a/mffeed/follower_test.go
+++ b/mffeed/follower_test.go
@@ -56,7 +56,7 @@
 	put("a", "k", "1")
 	wait("k", "1")
 	put("b", "k2", "2")
-	rows.Forget()
+	rows.DropHistory()
 	wait("k2", "2")
 	put("a", "k", "3")
 	wait("k", "3")
--- a/mffleet/daemon_test.go
+++ b/mffleet/daemon_test.go
@@ -106,7 +106,7 @@
 // completed although the owner is stopped while they run; nothing runs twice.
 func TestJobsSurvivePlannedStop(t *testing.T) {
 	rows := &mfstandin.Rows{}
-	w := &mfstandin.TaskWorker{Service: "s", Takes: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}
+	w := &mfstandin.TaskWorker{Service: "s", TaskTime: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}
 	first := startHost(t, "h-1", rows, w)
 	eventually(t, "an owner", func() bool {
 		code, _ := request(t, first, http.MethodGet, "/q/", "")
@@ -142,5 +142,5 @@
 	assert.Equal(t, code, http.StatusBadRequest)
 	code, _ = request(t, second, http.MethodPost, "/other/00000000000000fe", body)
 	assert.Equal(t, code, http.StatusNotFound)
-	assert.Equal(t, len(w.Twice()), 0, "%v", w.Twice())
+	assert.Equal(t, len(w.StartedTwice()), 0, "%v", w.StartedTwice())
 }
--- a/mffleet/forward_test.go
+++ b/mffleet/forward_test.go
@@ -27,15 +27,15 @@
 	rows    *mfstandin.Rows
 	workers *mfstandin.TaskWorker
 	hosts   []host
-	gates   []*mfstandin.Gate
+	gates   []*mfstandin.FaultyStore
 }
 
 // startGroup starts hosts that know of each other and have an owner. The last one owns
 // the shard at first.
 func startGroup(t *testing.T, n int) *group {
 	t.Helper()
-	g := &group{rows: &mfstandin.Rows{}, workers: &mfstandin.TaskWorker{Service: "s", Takes: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}}
-	g.hosts, g.gates = make([]host, n), make([]*mfstandin.Gate, n)
+	g := &group{rows: &mfstandin.Rows{}, workers: &mfstandin.TaskWorker{Service: "s", TaskTime: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}}
+	g.hosts, g.gates = make([]host, n), make([]*mfstandin.FaultyStore, n)
 	// Ports of addresses of their own are not taken by connections that go out meanwhile.
 	subnet := mffake.ClaimSubnet(t)
 	told := make([]mfrecord.Host, n)
@@ -48,7 +48,7 @@
 		assert.NilError(t, err)
 	}
 	for i := n - 1; i >= 0; i-- {
-		g.gates[i] = &mfstandin.Gate{Store: g.rows}
+		g.gates[i] = &mfstandin.FaultyStore{Store: g.rows}
 		g.hosts[i] = startHost(t, told[i].Daemon, g.gates[i], g.workers, func(s *mffleet.Settings) {
 			s.Callers, s.Ready, s.Metrics = fmt.Sprintf("%s.%d:7100", subnet, 10+i), fmt.Sprintf("%s.%d:7101", subnet, 10+i), fmt.Sprintf("%s.%d:7070", subnet, 10+i)
 			s.DataCentre, s.Relay, s.Forward = told[i].DataCentre, told[i].Address, told[i].Forward
@@ -133,11 +133,11 @@
 
 // Symptom guarded against: a host that the store turns away refuses all its callers, though its neighbours are served.
 func TestUnservedHostForwardsToPeer(t *testing.T) {
-	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "reset": mfstandin.GateReset, "silent": mfstandin.GateSilent} {
+	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "reset": mfstandin.StoreReset, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.gates[0].Set(fault)
+			g.gates[0].SetFault(fault)
 			for i := range 20 {
 				code, text, took := g.timedRequest(t, 0, http.MethodPost, i)
 				assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
@@ -162,23 +162,23 @@
 			assert.Assert(t, g.metric(t, 0, `mothferry_calls_forwarded_total{kind="accept",outcome="done"}`) != "")
 			carried := g.metric(t, 1, `mothferry_calls_carried_total{kind="accept",outcome="done"}`) + g.metric(t, 2, `mothferry_calls_carried_total{kind="accept",outcome="done"}`)
 			assert.Assert(t, carried != "")
-			g.gates[0].Set(mfstandin.GateWell)
+			g.gates[0].SetFault(mfstandin.StoreOK)
 			eventually(t, "service by the own store", func() bool {
 				return g.metric(t, 0, "mothferry_store_serving") == "mothferry_store_serving 1"
 			})
-			assert.Equal(t, len(g.workers.Twice()), 0, "%v", g.workers.Twice())
+			assert.Equal(t, len(g.workers.StartedTwice()), 0, "%v", g.workers.StartedTwice())
 		})
 	}
 }
 
 // Symptom guarded against: with all hosts turned away calls are passed round, held to their end, or hosts stay ready.
 func TestAllHostsUnservedRefuseImmediately(t *testing.T) {
-	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "silent": mfstandin.GateSilent} {
+	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
 			for _, gate := range g.gates {
-				gate.Set(fault)
+				gate.SetFault(fault)
 			}
 			time.Sleep(2500 * time.Millisecond)
 			for i := range 10 {
@@ -191,7 +191,7 @@
 			}
 			assert.Assert(t, !g.isReady(0))
 			for _, gate := range g.gates {
-				gate.Set(mfstandin.GateWell)
+				gate.SetFault(mfstandin.StoreOK)
 			}
 			eventually(t, "acceptance", func() bool {
 				code, _, _ := g.timedRequest(t, 0, http.MethodPost, 1)
@@ -204,15 +204,15 @@
 // Failure guarded against: a hand-in's answer is lost at the peer, then a refusal says that the job never runs, and it does.
 func TestLostPeerReplyIsNotARefusal(t *testing.T) {
 	g := startGroup(t, 2)
-	g.gates[0].Set(mfstandin.GateBusy)
+	g.gates[0].SetFault(mfstandin.StoreBusy)
 	eventually(t, "a host that passes calls on", func() bool {
 		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
 	})
-	g.gates[1].Set(mfstandin.GateLate)
+	g.gates[1].SetFault(mfstandin.StoreLate)
 	code, _, _ := g.timedRequest(t, 0, http.MethodPost, 7)
 	assert.Equal(t, code, http.StatusGatewayTimeout)
-	g.gates[1].Set(mfstandin.GateBusy)
+	g.gates[1].SetFault(mfstandin.StoreBusy)
 	for range 5 {
 		code, _, _ = g.timedRequest(t, 0, http.MethodPost, 7)
 		assert.Equal(t, code, http.StatusGatewayTimeout)
@@ -220,9 +220,9 @@
 	code, _, _ = g.timedRequest(t, 0, http.MethodPost, 8)
 	assert.Equal(t, code, http.StatusServiceUnavailable)
 	for _, gate := range g.gates {
-		gate.Set(mfstandin.GateWell)
+		gate.SetFault(mfstandin.StoreOK)
 	}
-	g.gates[1].Settle(context.Background())
+	g.gates[1].ApplyLate(context.Background())
 	eventually(t, "completion", func() bool {
 		_, text, _ := g.timedRequest(t, 0, http.MethodGet, 7)
 		return text == `{"state":"completed"}`
@@ -236,7 +236,7 @@
 // Failure guarded against: a hand-in that goes two ways, by an own write that is made late and by a peer, runs twice.
 func TestJobSubmittedTwoWaysRunsOnce(t *testing.T) {
 	g := startGroup(t, 2)
-	g.gates[0].Set(mfstandin.GateLate)
+	g.gates[0].SetFault(mfstandin.StoreLate)
 	for i := range 5 {
 		code, text, _ := g.timedRequest(t, 0, http.MethodPost, i)
 		assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
@@ -247,20 +247,20 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	g.gates[0].Set(mfstandin.GateWell)
-	g.gates[0].Settle(context.Background())
+	g.gates[0].SetFault(mfstandin.StoreOK)
+	g.gates[0].ApplyLate(context.Background())
 	time.Sleep(300 * time.Millisecond)
 	for i := range 5 {
 		_, text, _ := g.timedRequest(t, 1, http.MethodGet, i)
 		assert.Equal(t, text, `{"state":"completed"}`)
 	}
-	assert.Equal(t, len(g.workers.Twice()), 0, "%v", g.workers.Twice())
+	assert.Equal(t, len(g.workers.StartedTwice()), 0, "%v", g.workers.StartedTwice())
 }
 
 // Failure guarded against: a peer's store goes silent with hand-ins in flight, and callers wait for longer than they said, or its other callers go under.
 func TestFailedPeerIsReplaced(t *testing.T) {
 	g := startGroup(t, 3)
-	g.gates[0].Set(mfstandin.GateBusy)
+	g.gates[0].SetFault(mfstandin.StoreBusy)
 	eventually(t, "a host that passes calls on", func() bool {
 		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
@@ -282,7 +282,7 @@
 
 // Failure guarded against: an owner that the store turns away keeps its shard until its lease lapses, and nothing starts meanwhile.
 func TestUnservedOwnerReleasesShard(t *testing.T) {
-	for name, fault := range map[string]mfstandin.GateFault{"busy": mfstandin.GateBusy, "reset": mfstandin.GateReset, "silent": mfstandin.GateSilent} {
+	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "reset": mfstandin.StoreReset, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
@@ -291,12 +291,12 @@
 			for range rounds {
 				owner := g.owner(t)
 				i := int(owner[2] - '0')
-				g.gates[i].Set(fault)
+				g.gates[i].SetFault(fault)
 				began := time.Now()
 				eventually(t, "another owner", func() bool { now := g.owner(t); return now != owner && now != "" })
 				took := time.Since(began)
 				worst, sum = max(worst, took), sum+took
-				g.gates[i].Set(mfstandin.GateWell)
+				g.gates[i].SetFault(mfstandin.StoreOK)
 				eventually(t, "a host that is served", func() bool { return g.metric(t, i, "mothferry_store_serving") == "mothferry_store_serving 1" })
 				time.Sleep(time.Second)
 				assert.Assert(t, g.owner(t) != owner, "the shard came back to %s", owner)
@@ -305,7 +305,7 @@
 			assert.Assert(t, sum/rounds < time.Second, "the shard had another owner after %v", sum/rounds)
 			// Silence takes nearly as long to notice as the lease, which may lapse first.
 			least := rounds - 1
-			if fault == mfstandin.GateSilent {
+			if fault == mfstandin.StoreTimeout {
 				least = 1
 			}
 			assert.Assert(t, g.releaseCount(t) >= least, "the shard was given up %d times", g.releaseCount(t))
--- a/mfintake/intake_test.go
+++ b/mfintake/intake_test.go
@@ -57,7 +57,7 @@
 	rows.Before = fault(mfstandin.CommitDeclined)
 	assert.Equal(t, i.Accept(ctx, id, submission()), mfintake.OutcomeUnknown, "the first write may still be applied")
 	rows.Before = nil
-	rows.Settle()
+	rows.ApplyLate()
 	state, outcome := i.State(ctx, id, "")
 	assert.Equal(t, outcome, mfintake.OutcomeDone)
 	assert.Equal(t, state, mfjob.StateQueued)
--- a/mfowner/committer_test.go
+++ b/mfowner/committer_test.go
@@ -51,10 +51,10 @@
 // one must find the head that it expects.
 func TestCommitsAreSerialized(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.IntRange(int(mfstandin.CommitWell), int(mfstandin.CommitLate)), 0, 12).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.IntRange(int(mfstandin.CommitOK), int(mfstandin.CommitLate)), 0, 12).Draw(t, "faults")
 		rows := &mfstandin.Rows{Before: func(mothferry.Txn) mfstandin.CommitFault {
 			if len(faults) == 0 {
-				return mfstandin.CommitWell
+				return mfstandin.CommitOK
 			}
 			f := mfstandin.CommitFault(faults[0])
 			faults = faults[1:]
@@ -65,7 +65,7 @@
 			assert.NilError(t, c.write(context.Background(), mfrecord.Head{Holder: "h-1", Epoch: 1}, progressRow(i)))
 			assert.Equal(t, storedValue(t, rows), i)
 			if rapid.Bool().Draw(t, "settle") {
-				rows.Settle()
+				rows.ApplyLate()
 				assert.Equal(t, storedValue(t, rows), i)
 			}
 		}
--- a/mfowner/finished_test.go
+++ b/mfowner/finished_test.go
@@ -25,7 +25,7 @@
 		if txn.SpansParts {
 			return mfstandin.CommitDeclined
 		}
-		return mfstandin.CommitWell
+		return mfstandin.CommitOK
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -40,7 +40,7 @@
 	waitFor(t, "the job's task is done", func() bool { return ended() == 1 })
 	time.Sleep(o.Limits.FinishedJobRetention + time.Second)
 	rows.SetBefore(nil)
-	rows.Forget()
+	rows.DropHistory()
 	submit(t, rows, "next", mfjob.Step{Count: 1, Need: mothferry.Resources{Cores: 1000, Memory: mothferry.Gibibyte}})
 	waitFor(t, "the next job's task is done", func() bool { return ended() >= 2 })
 	time.Sleep(time.Second)
--- a/mfowner/takeover_test.go
+++ b/mfowner/takeover_test.go
@@ -201,7 +201,7 @@
 	var late atomic.Bool
 	rows.SetBefore(func(txn mothferry.Txn) mfstandin.CommitFault {
 		if !slices.ContainsFunc(txn.Writes, func(w mothferry.Write) bool { return w.Delete && w.Table == mfrecord.TableProgress }) {
-			return mfstandin.CommitWell
+			return mfstandin.CommitOK
 		}
 		late.Store(true)
 		return mfstandin.CommitLate
@@ -212,7 +212,7 @@
 	deposed()
 	second, end := context.WithCancel(context.Background())
 	ended := startOwner(second, "h-2", time.Hour)
-	rows.Settle()
+	rows.ApplyLate()
 	assert.Equal(t, len(shardRows(t, rows, mfrecord.TableProgress)), 1)
 	end()
 	ended()
@@ -277,7 +277,7 @@
 	rows.SetBefore(func(txn mothferry.Txn) mfstandin.CommitFault {
 		head, err := mfrecord.DecodeHead(txn.Writes[0].Value)
 		if err == nil && head.Holder == "" {
-			return mfstandin.CommitWell
+			return mfstandin.CommitOK
 		}
 		return mfstandin.CommitLost
 	})
--- a/mfprocess/load_test.go
+++ b/mfprocess/load_test.go
@@ -202,7 +202,7 @@
 	for _, r := range getStandin[[]mfstandin.RunnerStatus](b, d, "runners") {
 		if r.Service == "payments" && r.Ran > 0 {
 			refused, ran = refused+r.Refused, ran+r.Ran
-			mostInFlight, mostConnections = max(mostInFlight, r.MostInFlight), max(mostConnections, r.MostConnection)
+			mostInFlight, mostConnections = max(mostInFlight, r.MaxInFlight), max(mostConnections, r.MaxConnections)
 		}
 	}
 	b.ReportMetric(float64(answered)/(capacity*min(share, 1)*(span-warm).Seconds()), "goodput")
--- a/mfstandin/gate.go
+++ b/mfstandin/gate.go
@@ -9,46 +9,46 @@
 	"mothferry"
 )
 
-// GateFault is what a store does to one host.
-type GateFault int
+// StoreFault is what a store does to one host.
+type StoreFault int
 
 // Faults of a gate.
 const (
-	GateWell GateFault = iota
-	// GateBusy: calls are declined.
-	GateBusy
-	// GateReset: calls end without an answer, and nothing is done.
-	GateReset
-	// GateSilent: no answer comes for gateTimeout, and nothing is done.
-	GateSilent
-	// GateLate: as silent, and commits are carried out when Settle is called, if their
+	StoreOK StoreFault = iota
+	// StoreBusy: calls are declined.
+	StoreBusy
+	// StoreReset: calls end without an answer, and nothing is done.
+	StoreReset
+	// StoreTimeout: no answer comes for gateTimeout, and nothing is done.
+	StoreTimeout
+	// StoreLate: as silent, and commits are carried out when Settle is called, if their
 	// checks hold then.
-	GateLate
+	StoreLate
 )
 
-// gateTimeout is how long a call waits for its answer.
-const gateTimeout = 900 * time.Millisecond
+// storeCallTimeout is how long a call waits for its answer.
+const storeCallTimeout = 900 * time.Millisecond
 
 var errReset = errors.New("connection reset")
 
-// Gate is the way of one host to a store that others are served by.
-type Gate struct {
+// FaultyStore is the way of one host to a store that others are served by.
+type FaultyStore struct {
 	Store mothferry.RowStore
 
 	mutex sync.Mutex
-	fault GateFault
+	fault StoreFault
 	late  []mothferry.Txn
 }
 
-// Set changes what the store does to the host.
-func (g *Gate) Set(f GateFault) {
+// SetFault changes what the store does to the host.
+func (g *FaultyStore) SetFault(f StoreFault) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.fault = f
 }
 
-// Settle carries out the commits that were late.
-func (g *Gate) Settle(ctx context.Context) {
+// ApplyLate carries out the commits that were late.
+func (g *FaultyStore) ApplyLate(ctx context.Context) {
 	g.mutex.Lock()
 	late := g.late
 	g.late = nil
@@ -59,48 +59,48 @@
 	}
 }
 
-func (g *Gate) pass(ctx context.Context, operation string, txn *mothferry.Txn) error {
+func (g *FaultyStore) injectFault(ctx context.Context, operation string, txn *mothferry.Txn) error {
 	g.mutex.Lock()
 	fault := g.fault
-	if fault == GateLate && txn != nil {
+	if fault == StoreLate && txn != nil {
 		g.late = append(g.late, *txn)
 	}
 	g.mutex.Unlock()
 	switch fault {
-	case GateWell:
+	case StoreOK:
 		return nil
-	case GateBusy:
+	case StoreBusy:
 		return &mothferry.ErrDeclined{Operation: operation, Status: 503}
-	case GateReset:
+	case StoreReset:
 		return &mothferry.ErrUnavailable{Operation: operation, Err: errReset}
 	default:
 		select {
 		case <-ctx.Done():
-		case <-time.After(gateTimeout):
+		case <-time.After(storeCallTimeout):
 		}
 		return &mothferry.ErrUnavailable{Operation: operation, Err: context.DeadlineExceeded}
 	}
 }
 
 // Commit implements mothferry.RowStore.
-func (g *Gate) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
-	if err := g.pass(ctx, "commit", &txn); err != nil {
+func (g *FaultyStore) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
+	if err := g.injectFault(ctx, "commit", &txn); err != nil {
 		return 0, err
 	}
 	return g.Store.Commit(ctx, txn)
 }
 
 // Range implements mothferry.RowStore.
-func (g *Gate) Range(ctx context.Context, q mothferry.RowRange) (mothferry.RowPage, error) {
-	if err := g.pass(ctx, "range", nil); err != nil {
+func (g *FaultyStore) Range(ctx context.Context, q mothferry.RowRange) (mothferry.RowPage, error) {
+	if err := g.injectFault(ctx, "range", nil); err != nil {
 		return mothferry.RowPage{}, err
 	}
 	return g.Store.Range(ctx, q)
 }
 
 // Follow implements mothferry.RowStore.
-func (g *Gate) Follow(ctx context.Context, table mothferry.TableID, after mothferry.Version, wait time.Duration) (mothferry.RowPage, error) {
-	if err := g.pass(ctx, "follow", nil); err != nil {
+func (g *FaultyStore) Follow(ctx context.Context, table mothferry.TableID, after mothferry.Version, wait time.Duration) (mothferry.RowPage, error) {
+	if err := g.injectFault(ctx, "follow", nil); err != nil {
 		return mothferry.RowPage{}, err
 	}
 	return g.Store.Follow(ctx, table, after, wait)
--- a/mfstandin/rows.go
+++ b/mfstandin/rows.go
@@ -16,16 +16,16 @@
 	Before func(txn mothferry.Txn) CommitFault
 
 	mutex   sync.Mutex
-	rows    map[place]mothferry.Row
+	rows    map[rowKey]mothferry.Row
 	changes []mothferry.Row
-	// kept is the version from which on changes are kept.
-	kept    mothferry.Version
-	version mothferry.Version
-	changed chan struct{}
-	late    []mothferry.Txn
+	// historyFrom is the version from which on changes are kept.
+	historyFrom mothferry.Version
+	version     mothferry.Version
+	changed     chan struct{}
+	late        []mothferry.Txn
 }
 
-type place struct {
+type rowKey struct {
 	table mothferry.TableID
 	part  mothferry.PartID
 	key   mothferry.Key
@@ -36,7 +36,7 @@
 
 // Faults of commits.
 const (
-	CommitWell CommitFault = iota
+	CommitOK CommitFault = iota
 	// CommitDeclined: nothing is done, and the caller is told so.
 	CommitDeclined
 	// CommitUnanswered: it is done, and the answer is lost.
@@ -52,7 +52,7 @@
 func (r *Rows) Commit(_ context.Context, txn mothferry.Txn) (mothferry.Version, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	fault := CommitWell
+	fault := CommitOK
 	if r.Before != nil {
 		fault = r.Before(txn)
 	}
@@ -80,8 +80,8 @@
 	r.Before = before
 }
 
-// Settle carries out the commits that were late.
-func (r *Rows) Settle() {
+// ApplyLate carries out the commits that were late.
+func (r *Rows) ApplyLate() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, txn := range r.late {
@@ -93,12 +93,12 @@
 
 func (r *Rows) apply(txn mothferry.Txn) (mothferry.Version, error) {
 	if r.rows == nil {
-		r.rows = map[place]mothferry.Row{}
+		r.rows = map[rowKey]mothferry.Row{}
 	}
 	var current []mothferry.Row
 	holds := true
 	for _, c := range txn.Checks {
-		row := r.rows[place{c.Table, c.Part, c.Key}]
+		row := r.rows[rowKey{c.Table, c.Part, c.Key}]
 		row.Table, row.Part, row.Key = c.Table, c.Part, c.Key
 		current = append(current, row)
 		holds = holds && row.Version == c.Version
@@ -109,7 +109,7 @@
 	r.version++
 	for _, w := range txn.Writes {
 		row := mothferry.Row{Table: w.Table, Part: w.Part, Key: w.Key, Value: w.Value, Version: r.version, Deleted: w.Delete}
-		at := place{w.Table, w.Part, w.Key}
+		at := rowKey{w.Table, w.Part, w.Key}
 		if w.Delete {
 			delete(r.rows, at)
 		} else {
@@ -163,7 +163,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	page := mothferry.RowPage{Version: r.version}
-	if after < r.kept {
+	if after < r.historyFrom {
 		return page, nil, &mothferry.ErrHistoryGone{Table: table, After: after}
 	}
 	for _, row := range r.changes {
@@ -177,11 +177,11 @@
 	return page, r.changed, nil
 }
 
-// Forget drops the history of changes.
-func (r *Rows) Forget() {
+// DropHistory drops the history of changes.
+func (r *Rows) DropHistory() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.changes, r.kept = nil, r.version+1
+	r.changes, r.historyFrom = nil, r.version+1
 	if r.changed != nil {
 		close(r.changed)
 		r.changed = nil
--- a/mfstandin/runner.go
+++ b/mfstandin/runner.go
@@ -49,9 +49,9 @@
 	InFlight       int                 `json:"in_flight"`
 	Ran            int                 `json:"ran"`
 	Refused        int                 `json:"refused"`
-	MostInFlight   int                 `json:"most_in_flight"`
+	MaxInFlight    int                 `json:"most_in_flight"`
 	Connections    int                 `json:"connections"`
-	MostConnection int                 `json:"most_connections"`
+	MaxConnections int                 `json:"most_connections"`
 	Faults         RunnerFaults        `json:"faults"`
 }
 
@@ -164,7 +164,7 @@
 	switch state {
 	case http.StateNew:
 		r.status.Connections++
-		r.status.MostConnection = max(r.status.MostConnection, r.status.Connections)
+		r.status.MaxConnections = max(r.status.MaxConnections, r.status.Connections)
 		if r.status.Connections > int(r.Connections) {
 			_ = c.Close()
 		}
@@ -181,20 +181,20 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	faults, refusal := r.begin(mothferry.TaskID(q.Header.Get(mothferry.HeaderRunner)))
+	faults, refusal := r.acquireSlot(mothferry.TaskID(q.Header.Get(mothferry.HeaderRunner)))
 	if refusal != "" {
 		w.Header().Set(mothferry.HeaderRefused, string(refusal))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer r.end()
+	defer r.releaseSlot()
 	request := mothferry.RequestID(q.Header.Get(mothferry.HeaderRequestID))
 	customer := mothferry.CustomerID(q.Header.Get(mothferry.HeaderCustomer))
 	r.Journal.Add(Run{
 		Request: request, Key: q.Header.Get(mothferry.HeaderKey), Customer: customer,
 		Service: r.Service, Runner: r.Task, Method: q.Method, Path: q.URL.Path, Time: time.Now(),
 	})
-	time.Sleep(workOf(q, faults))
+	time.Sleep(workTime(q, faults))
 	if faults.DropAfterRun {
 		panic(http.ErrAbortHandler)
 	}
@@ -202,7 +202,7 @@
 	data, _ := json.Marshal(answer{
 		Request: request, Customer: customer, Service: r.Service, Runner: r.Task,
 		Method: q.Method, Path: q.URL.Path, Query: q.URL.RawQuery,
-		BodySize: len(body), BodyHash: hex.EncodeToString(sum[:]), Padding: paddingOf(q),
+		BodySize: len(body), BodyHash: hex.EncodeToString(sum[:]), Padding: answerPadding(q),
 	})
 	r.send(w, data, faults)
 }
@@ -221,9 +221,9 @@
 	_, _ = w.Write(data)
 }
 
-// begin takes a slot for a request that is meant for a runner, or says why it is
+// acquireSlot takes a slot for a request that is meant for a runner, or says why it is
 // refused.
-func (r *Runner) begin(meant mothferry.TaskID) (RunnerFaults, mothferry.Refusal) {
+func (r *Runner) acquireSlot(meant mothferry.TaskID) (RunnerFaults, mothferry.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
@@ -239,24 +239,24 @@
 	}
 	r.status.InFlight++
 	r.status.Ran++
-	r.status.MostInFlight = max(r.status.MostInFlight, r.status.InFlight)
+	r.status.MaxInFlight = max(r.status.MaxInFlight, r.status.InFlight)
 	return r.status.Faults, ""
 }
 
-func (r *Runner) end() {
+func (r *Runner) releaseSlot() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.status.InFlight--
 }
 
-func workOf(q *http.Request, faults RunnerFaults) time.Duration {
+func workTime(q *http.Request, faults RunnerFaults) time.Duration {
 	if d, err := time.ParseDuration(q.URL.Query().Get(paramWork)); err == nil {
 		return d
 	}
 	return faults.Work
 }
 
-func paddingOf(q *http.Request) string {
+func answerPadding(q *http.Request) string {
 	size, err := strconv.Atoi(q.URL.Query().Get(paramSize))
 	if err != nil || size <= 0 {
 		return ""
--- a/mfstandin/server.go
+++ b/mfstandin/server.go
@@ -103,12 +103,12 @@
 		Table: s.Table, Objects: s.Objects, Hosts: s.Workers, Workers: s.Workers, Pools: s.Workers,
 	})
 	mux := http.NewServeMux()
-	mux.Handle("/", s.faulty(platform))
+	mux.Handle("/", s.injectFaults(platform))
 	mux.HandleFunc("PUT /standin/faults", func(w http.ResponseWriter, r *http.Request) {
-		put(w, r, func(f Faults) error { s.SetFaults(f); return nil })
+		applyJSON(w, r, func(f Faults) error { s.SetFaults(f); return nil })
 	})
 	mux.HandleFunc("PUT /standin/runners/{task}", func(w http.ResponseWriter, r *http.Request) {
-		put(w, r, func(f RunnerFaults) error {
+		applyJSON(w, r, func(f RunnerFaults) error {
 			runner, err := s.Workers.Runner(mothferry.TaskID(r.PathValue("task")))
 			if err == nil {
 				runner.SetFaults(f)
@@ -117,18 +117,18 @@
 		})
 	})
 	mux.HandleFunc("PUT /standin/workers/{host}", func(w http.ResponseWriter, r *http.Request) {
-		put(w, r, func(f WorkerFaults) error {
+		applyJSON(w, r, func(f WorkerFaults) error {
 			return s.Workers.SetFaults(mothferry.HostID(r.PathValue("host")), f)
 		})
 	})
-	mux.HandleFunc("GET /standin/runners", func(w http.ResponseWriter, _ *http.Request) { show(w, s.Workers.Runners()) })
-	mux.HandleFunc("GET /standin/journal", func(w http.ResponseWriter, _ *http.Request) { show(w, s.Workers.Journal.Runs()) })
-	mux.HandleFunc("GET /standin/load", func(w http.ResponseWriter, _ *http.Request) { show(w, s.Table.Load()) })
+	mux.HandleFunc("GET /standin/runners", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Workers.Runners()) })
+	mux.HandleFunc("GET /standin/journal", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Workers.Journal.Runs()) })
+	mux.HandleFunc("GET /standin/load", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Table.Load()) })
 	return mux
 }
 
-// faulty applies the switches to calls of the platform's interface.
-func (s *Server) faulty(next http.Handler) http.Handler {
+// injectFaults applies the switches to calls of the platform's interface.
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		f := s.faults
@@ -161,7 +161,7 @@
 // WriteHeader implements http.ResponseWriter.
 func (d discard) WriteHeader(int) {}
 
-func put[T any](w http.ResponseWriter, r *http.Request, set func(T) error) {
+func applyJSON[T any](w http.ResponseWriter, r *http.Request, set func(T) error) {
 	var value T
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -174,7 +174,7 @@
 	}
 }
 
-func show(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/mfstandin/table.go
+++ b/mfstandin/table.go
@@ -18,11 +18,11 @@
 
 	mutex sync.Mutex
 	rows  map[mothferry.Key]mothferry.Row
-	// last is the largest version given out. Versions are never used twice, so
+	// lastVersion is the largest version given out. Versions are never used twice, so
 	// that a row deleted and made anew is not taken for the old one.
-	last   mothferry.Version
-	writes int
-	reads  int
+	lastVersion mothferry.Version
+	writes      int
+	reads       int
 }
 
 // TableLoad counts the calls that a table has served.
@@ -45,7 +45,7 @@
 	t.reads++
 	found := map[mothferry.Key]mothferry.Row{}
 	for _, k := range q.Keys {
-		if r, ok := t.live(k); ok {
+		if r, ok := t.lookup(k); ok {
 			found[k] = r
 		}
 	}
@@ -54,7 +54,7 @@
 			if !strings.HasPrefix(string(k), string(p)) {
 				continue
 			}
-			if r, ok := t.live(k); ok {
+			if r, ok := t.lookup(k); ok {
 				found[k] = r
 			}
 		}
@@ -74,7 +74,7 @@
 	t.writes++
 	var stale []mothferry.Row
 	for _, c := range txn.Checks {
-		r, _ := t.live(c.Key)
+		r, _ := t.lookup(c.Key)
 		if r.Version != c.Version {
 			r.Key = c.Key
 			stale = append(stale, r)
@@ -86,19 +86,19 @@
 	if t.rows == nil {
 		t.rows = map[mothferry.Key]mothferry.Row{}
 	}
-	t.last++
+	t.lastVersion++
 	for _, w := range txn.Writes {
 		if w.Delete {
 			delete(t.rows, w.Key)
 			continue
 		}
-		t.rows[w.Key] = mothferry.Row{Key: w.Key, Value: w.Value, Version: t.last, Expires: w.Expires}
+		t.rows[w.Key] = mothferry.Row{Key: w.Key, Value: w.Value, Version: t.lastVersion, Expires: w.Expires}
 	}
-	return t.last, nil
+	return t.lastVersion, nil
 }
 
-// live returns the row of a key unless it is absent or expired.
-func (t *Table) live(k mothferry.Key) (mothferry.Row, bool) {
+// lookup returns the row of a key unless it is absent or expired.
+func (t *Table) lookup(k mothferry.Key) (mothferry.Row, bool) {
 	r, ok := t.rows[k]
 	if ok && !r.Expires.IsZero() && !t.Clock.Now().Before(r.Expires) {
 		delete(t.rows, k)
--- a/mfstandin/taskworker.go
+++ b/mfstandin/taskworker.go
@@ -15,33 +15,33 @@
 // before use.
 type TaskWorker struct {
 	Service mothferry.ServiceID
-	// Takes is how long each task runs.
-	Takes time.Duration
+	// TaskTime is how long each task runs.
+	TaskTime time.Duration
 	// Cores is what the worker has.
 	Cores mothferry.Millicores
 	Clock mothferry.Clock
 
-	mutex   sync.Mutex
-	epoch   mothferry.Epoch
-	running map[mothferry.TaskName]mothferry.RunNumber
-	done    map[mothferry.TaskName]int
-	ends    []mothferry.EndedTask
-	last    mothferry.EndNumber
-	twice   []mothferry.TaskName
+	mutex        sync.Mutex
+	epoch        mothferry.Epoch
+	running      map[mothferry.TaskName]mothferry.RunNumber
+	done         map[mothferry.TaskName]int
+	ends         []mothferry.EndedTask
+	lastEnd      mothferry.EndNumber
+	startedTwice []mothferry.TaskName
 }
 
 // taskWorkerID is the one life that the stand-in's worker has.
 const taskWorkerID mothferry.WorkerID = "worker-1"
 
-// Twice returns the tasks that were started though they ran, or had run.
-func (w *TaskWorker) Twice() []mothferry.TaskName {
+// StartedTwice returns the tasks that were started though they ran, or had run.
+func (w *TaskWorker) StartedTwice() []mothferry.TaskName {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]mothferry.TaskName{}, w.twice...)
+	return append([]mothferry.TaskName{}, w.startedTwice...)
 }
 
-// Ran returns how many tasks have ended.
-func (w *TaskWorker) Ran() int {
+// EndedTasks returns how many tasks have ended.
+func (w *TaskWorker) EndedTasks() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return len(w.done)
@@ -51,8 +51,8 @@
 	return mothferry.WorkerClock(w.Clock.Now().UnixNano())
 }
 
-// fenced takes an order's epoch in; the worker is locked.
-func (w *TaskWorker) fenced(epoch mothferry.Epoch) error {
+// checkEpoch takes an order's epoch in; the worker is locked.
+func (w *TaskWorker) checkEpoch(epoch mothferry.Epoch) error {
 	if epoch < w.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
 	}
@@ -64,34 +64,34 @@
 func (w *TaskWorker) Start(_ context.Context, _ mothferry.WorkerAddress, o mothferry.StartOrder) (mothferry.WorkerClock, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.fenced(o.Epoch); err != nil {
+	if err := w.checkEpoch(o.Epoch); err != nil {
 		return 0, err
 	}
 	if w.running == nil {
 		w.running, w.done = map[mothferry.TaskName]mothferry.RunNumber{}, map[mothferry.TaskName]int{}
 	}
 	if _, there := w.running[o.Task]; there || w.done[o.Task] > 0 {
-		w.twice = append(w.twice, o.Task)
+		w.startedTwice = append(w.startedTwice, o.Task)
 	}
 	w.running[o.Task] = o.Run
-	time.AfterFunc(w.Takes, func() { w.end(o.Task, o.Run) })
+	time.AfterFunc(w.TaskTime, func() { w.end(o.Task, o.Run) })
 	return w.clock(), nil
 }
 
 func (w *TaskWorker) end(task mothferry.TaskName, run mothferry.RunNumber) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.last++
+	w.lastEnd++
 	w.done[task]++
 	delete(w.running, task)
-	w.ends = append(w.ends, mothferry.EndedTask{Number: w.last, Task: task, Run: run, Cause: mothferry.EndDone})
+	w.ends = append(w.ends, mothferry.EndedTask{Number: w.lastEnd, Task: task, Run: run, Cause: mothferry.EndDone})
 }
 
 // Stop implements mothferry.TaskWorkers. Tasks are so short that they just end.
 func (w *TaskWorker) Stop(_ context.Context, _ mothferry.WorkerAddress, _ mothferry.TaskName, _ mothferry.RunNumber, epoch mothferry.Epoch) (mothferry.WorkerClock, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.clock(), w.fenced(epoch)
+	return w.clock(), w.checkEpoch(epoch)
 }
 
 // Pace implements mothferry.TaskWorkers.
@@ -101,10 +101,10 @@
 
 // Poll implements mothferry.TaskWorkers.
 func (w *TaskWorker) Poll(_ context.Context, _ mothferry.WorkerAddress, o mothferry.PollOrder) (mothferry.PollReport, error) {
-	time.Sleep(min(o.Wait, w.Takes))
+	time.Sleep(min(o.Wait, w.TaskTime))
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.fenced(o.Epoch); err != nil {
+	if err := w.checkEpoch(o.Epoch); err != nil {
 		return mothferry.PollReport{}, err
 	}
 	report := mothferry.PollReport{Clock: w.clock()}
--- a/mfstandin/worker.go
+++ b/mfstandin/worker.go
@@ -13,8 +13,8 @@
 	"mothferry/mfhost"
 )
 
-// stopBound is how long a stopping runner may go on with what it has in flight.
-const stopBound = time.Minute
+// stopTimeout is how long a stopping runner may go on with what it has in flight.
+const stopTimeout = time.Minute
 
 // WorkerFaults are the switches of one worker.
 type WorkerFaults struct {
@@ -35,20 +35,20 @@
 	Address string
 	Journal Journal
 
-	mutex   sync.Mutex
-	lag     time.Duration
-	abrupt  bool
-	workers map[mothferry.HostID]*worker
-	epochs  map[mothferry.Shard]mothferry.Epoch
+	mutex      sync.Mutex
+	listLag    time.Duration
+	abruptStop bool
+	workers    map[mothferry.HostID]*worker
+	epochs     map[mothferry.Shard]mothferry.Epoch
 }
 
 type worker struct {
 	record mfhost.Record
 	faults WorkerFaults
 	tasks  map[mothferry.TaskID]*task
-	// past and changed give the host list its lag.
-	past    WorkerFaults
-	changed time.Time
+	// previousFaults and changed give the host list its lag.
+	previousFaults  WorkerFaults
+	faultsChangedAt time.Time
 }
 
 type task struct {
@@ -73,7 +73,7 @@
 func (w *Workers) Configure(lag time.Duration, abrupt bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.lag, w.abrupt = lag, abrupt
+	w.listLag, w.abruptStop = lag, abrupt
 }
 
 // SetFaults sets the switches of one worker.
@@ -84,7 +84,7 @@
 	if !ok {
 		return &mothferry.ErrNotFound{Kind: "worker", Name: string(host)}
 	}
-	k.past, k.faults, k.changed = k.faults, f, w.Clock.Now()
+	k.previousFaults, k.faults, k.faultsChangedAt = k.faults, f, w.Clock.Now()
 	if !f.Dead {
 		return nil
 	}
@@ -137,8 +137,8 @@
 	var hosts []mothferry.ListedHost
 	for id, k := range w.workers {
 		seen := k.faults
-		if w.Clock.Now().Sub(k.changed) < w.lag {
-			seen = k.past
+		if w.Clock.Now().Sub(k.faultsChangedAt) < w.listLag {
+			seen = k.previousFaults
 		}
 		if k.record.DataCentre != dc || seen.Dead {
 			continue
@@ -185,7 +185,7 @@
 func (w *Workers) Start(_ context.Context, host mothferry.HostID, f mothferry.Fence, spec mothferry.TaskSpec) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	k, err := w.admit(host, f)
+	k, err := w.fencedWorker(host, f)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 func (w *Workers) Stop(_ context.Context, host mothferry.HostID, f mothferry.Fence, id mothferry.TaskID) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	k, err := w.admit(host, f)
+	k, err := w.fencedWorker(host, f)
 	if err != nil {
 		return err
 	}
@@ -239,11 +239,11 @@
 		return nil
 	}
 	t.state = mothferry.TaskStopping
-	if w.abrupt {
+	if w.abruptStop {
 		t.runner.SetFaults(RunnerFaults{Dead: true})
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
 		t.runner.Stop(ctx)
 		w.mutex.Lock()
@@ -257,11 +257,11 @@
 func (w *Workers) Drain(_ context.Context, host mothferry.HostID, f mothferry.Fence) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	k, err := w.admit(host, f)
+	k, err := w.fencedWorker(host, f)
 	if err != nil {
 		return err
 	}
-	k.past, k.changed = k.faults, w.Clock.Now()
+	k.previousFaults, k.faultsChangedAt = k.faults, w.Clock.Now()
 	k.faults.Leaving = true
 	return nil
 }
@@ -270,20 +270,20 @@
 func (w *Workers) Reboot(_ context.Context, host mothferry.HostID, f mothferry.Fence) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	k, err := w.admit(host, f)
+	k, err := w.fencedWorker(host, f)
 	if err != nil {
 		return err
 	}
 	if len(k.tasks) > 0 {
 		return trace.BadParameter("host %s still has %d tasks", host, len(k.tasks))
 	}
-	k.past, k.changed = k.faults, w.Clock.Now()
+	k.previousFaults, k.faultsChangedAt = k.faults, w.Clock.Now()
 	k.faults.Leaving = false
 	return nil
 }
 
-// admit finds a worker and refuses an epoch older than the latest seen.
-func (w *Workers) admit(host mothferry.HostID, f mothferry.Fence) (*worker, error) {
+// fencedWorker finds a worker and refuses an epoch older than the latest seen.
+func (w *Workers) fencedWorker(host mothferry.HostID, f mothferry.Fence) (*worker, error) {
 	k, ok := w.workers[host]
 	if !ok || k.faults.Dead {
 		return nil, &mothferry.ErrNotFound{Kind: "worker", Name: string(host)}
