--- a/mfcommand/explain.go
+++ b/mfcommand/explain.go
@@ -27,14 +27,14 @@
 					return err
 				}
 				job := mothferry.JobID(arguments[0])
-				story := mfstory.Of(job, lines)
+				story := mfstory.JobLines(job, lines)
 				if len(story) == 0 {
 					return trace.Errorf("no line of these logs names job %s: were all daemons' logs given?", job)
 				}
 				for _, l := range story {
 					fmt.Fprintln(e.Out, l)
 				}
-				if told := mfstory.Tell(job, story); len(told) > 0 {
+				if told := mfstory.Explain(job, story); len(told) > 0 {
 					fmt.Fprintln(e.Out)
 					for _, sentence := range told {
 						fmt.Fprintln(e.Out, sentence)
--- a/mfstory/line.go
+++ b/mfstory/line.go
@@ -27,15 +27,15 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// clockLayout is how times are written for people; all are in UTC.
-const clockLayout = "15:04:05.000"
+// timeLayout is how times are written for people; all are in UTC.
+const timeLayout = "15:04:05.000"
 
-func (l Line) clock() string { return l.Time.UTC().Format(clockLayout) }
+func (l Line) formattedTime() string { return l.Time.UTC().Format(timeLayout) }
 
 // String returns the line for people: time, daemon, message and the rest.
 func (l Line) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s %-20v %s", l.clock(), l.Fields["daemon"], l.Message)
+	fmt.Fprintf(&out, "%s %-20v %s", l.formattedTime(), l.Fields["daemon"], l.Message)
 	var names []string
 	for n := range l.Fields {
 		if n != "daemon" && n != "part" {
@@ -44,43 +44,43 @@
 	}
 	slices.Sort(names)
 	for _, n := range names {
-		fmt.Fprintf(&out, " %s=%s", n, written(l.Fields[n]))
+		fmt.Fprintf(&out, " %s=%s", n, formatValue(l.Fields[n]))
 	}
 	return out.String()
 }
 
-// text returns a field for people; one that the line lacks is "?".
-func (l Line) text(field string) string {
+// fieldText returns a field for people; one that the line lacks is "?".
+func (l Line) fieldText(field string) string {
 	value, found := l.Fields[field]
 	if !found || value == nil {
 		return "?"
 	}
-	return cmp.Or(written(value), "none")
+	return cmp.Or(formatValue(value), "none")
 }
 
-// written returns a field's value without an exponent, as ids of runs and times have none.
-func written(value any) string {
+// formatValue returns a field's value without an exponent, as ids of runs and times have none.
+func formatValue(value any) string {
 	if v, ok := value.(float64); ok {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
 	return fmt.Sprint(value)
 }
 
-// number returns a field that holds a number.
-func (l Line) number(field string) (float64, bool) {
+// fieldNumber returns a field that holds a number.
+func (l Line) fieldNumber(field string) (float64, bool) {
 	v, ok := l.Fields[field].(float64)
 	return v, ok
 }
 
-// longestLine bounds one line of a log.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
 // Decode reads structured lines. Whatever stands before the first brace, as
 // a collector's prefix, and lines without one are passed over.
 func Decode(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, text, found := strings.Cut(scanner.Text(), "{")
 		var l Line
@@ -91,13 +91,13 @@
 	return lines, trace.Wrap(scanner.Err())
 }
 
-// ownership holds the messages on who owns the shard, which decide about every job.
-var ownership = []string{"shard is taken over", "shard is lost", "shard is given up"}
+// ownershipMessages holds the messages on who owns the shard, which decide about every job.
+var ownershipMessages = []string{"shard is taken over", "shard is lost", "shard is given up"}
 
-// Of returns the lines that bear on a job, in the order of time: those that name
+// JobLines returns the lines that bear on a job, in the order of time: those that name
 // it; those on its workers and on the shard's ownership while it was there; and
 // from before, the last line on the speed of each of its workers, if that was slow.
-func Of(job mothferry.JobID, lines []Line) []Line {
+func JobLines(job mothferry.JobID, lines []Line) []Line {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var from, to time.Time
@@ -121,16 +121,16 @@
 		_, other := l.Fields["job"]
 		worker, _ := l.Fields["worker"].(string)
 		switch {
-		case l.Fields["job"] == string(job), during && !other && (workers[worker] || slices.Contains(ownership, l.Message)):
+		case l.Fields["job"] == string(job), during && !other && (workers[worker] || slices.Contains(ownershipMessages, l.Message)):
 			story = append(story, l)
 		case l.Time.Before(from) && workers[worker] && l.Message == messageSlow:
 			slow[worker] = l
-		case l.Time.Before(from) && l.Message == messageSound:
+		case l.Time.Before(from) && l.Message == messageNotSlow:
 			delete(slow, worker)
 		}
 	}
 	before := slices.SortedFunc(maps.Values(slow), func(a, b Line) int {
-		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.text("worker"), b.text("worker")))
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.fieldText("worker"), b.fieldText("worker")))
 	})
 	return append(before, story...)
 }
