--- a/mftraffic/traffic.go
+++ b/mftraffic/traffic.go
@@ -15,7 +15,7 @@
 
 // Wrap returns a connection whose bytes are counted.
 func (c *Counter) Wrap(connection net.Conn) net.Conn {
-	return &counted{Conn: connection, counter: c}
+	return &countedConn{Conn: connection, counter: c}
 }
 
 // Dial opens a connection whose bytes are counted. It fits http.Transport's DialContext.
@@ -28,20 +28,20 @@
 	return c.Wrap(connection), nil
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	counter *Counter
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counter.Received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counter.Sent.Add(int64(n))
 	return n, err
