--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -81,7 +81,7 @@
 	metrics    *mfmetric.Metrics
 	callers    *http.Server
 	operators  *http.Server
-	usage      *mfusage.Watch
+	usage      *mfusage.Monitor
 	stopping   atomic.Bool
 	// traffic counts the bytes on connections to the platform.
 	traffic mftraffic.Counter
@@ -201,9 +201,9 @@
 		MaxRecordBytes: s.Limits.RecordBytes, NewToken: NewToken, Log: d.Logs.Part("ledger"),
 	}
 	d.ledger.Prepare()
-	d.usage = &mfusage.Watch{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Logs.Part("usage")}
+	d.usage = &mfusage.Monitor{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Logs.Part("usage")}
 	d.metrics = mfmetric.New(mfmetric.Gauges{
-		Cores:       d.usage.Share,
+		Cores:       d.usage.CoreFraction,
 		Revision:    func() float64 { return float64(d.store.Current().Revision) },
 		InFlight:    func() float64 { return float64(d.entry.InFlight()) },
 		Peers:       func() float64 { return float64(len(d.mesh.Live(d.peerTimeout()))) },
--- a/mffleet/daemon.go
+++ b/mffleet/daemon.go
@@ -83,7 +83,7 @@
 	requestSeconds *prometheus.HistogramVec
 	callSeconds    *prometheus.HistogramVec
 	refusedEntries prometheus.Counter
-	usage          *mfusage.Watch
+	usage          *mfusage.Monitor
 }
 
 // Config returns the config in force, nil before the first one.
@@ -191,10 +191,10 @@
 	d.refusedEntries = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "mothferry_worker_entries_refused_total", Help: "Workers' entries that were read and name no worker to use.",
 	})
-	d.usage = &mfusage.Watch{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Log("usage")}
+	d.usage = &mfusage.Monitor{Clock: d.Clock, Used: mfusage.ProcessorTime, Log: d.Log("usage")}
 	cores := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "mothferry_cores_used", Help: "Cores that this daemon used lately, over half a second.",
-	}, d.usage.Share)
+	}, d.usage.CoreFraction)
 	pools := newPoolGauges()
 	shares := newShareMetrics(func() *mfowner.Shares { return d.owner.Shares() })
 	d.Registry.MustRegister(d.refusedEntries, d.requestSeconds, d.callSeconds, decisions, commits, owning, cores, pools.machines, pools.binding, shares)
--- a/mfusage/watch.go
+++ b/mfusage/watch.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// roundEvery is the time between two readings. Any second of full use has a whole round in it.
-	roundEvery = 500 * time.Millisecond
-	// fullShare is the part of a core from which on a round counts as one of full use.
-	fullShare = 0.95
-	// warnEvery bounds how often full use is logged.
-	warnEvery = 30 * time.Second
+	// readInterval is the time between two readings. Any second of full use has a whole round in it.
+	readInterval = 500 * time.Millisecond
+	// fullUseFraction is the part of a core from which on a round counts as one of full use.
+	fullUseFraction = 0.95
+	// minWarnInterval bounds how often full use is logged.
+	minWarnInterval = 30 * time.Second
 )
 
-// Watch reads the processor time of this process in rounds. The exported fields are set before Run.
-type Watch struct {
+// Monitor reads the processor time of this process in rounds. The exported fields are set before Run.
+type Monitor struct {
 	Clock mothferry.Clock
 	// Used returns the processor time that the process has used so far.
 	Used func() (time.Duration, error)
 	Log  *log.Entry
 
-	share atomic.Uint64
-	full  fullUse
+	coreFraction atomic.Uint64
+	fullUse      fullUseLog
 }
 
-// Share is the part of a core that the process used in the last round.
-func (w *Watch) Share() float64 { return math.Float64frombits(w.share.Load()) }
+// CoreFraction is the part of a core that the process used in the last round.
+func (w *Monitor) CoreFraction() float64 { return math.Float64frombits(w.coreFraction.Load()) }
 
 // Run reads in rounds until ctx ends, or until the time can't be read.
-func (w *Watch) Run(ctx context.Context) error {
+func (w *Monitor) Run(ctx context.Context) error {
 	began := w.Clock.Now()
 	before, err := w.Used()
 	if err != nil {
@@ -49,26 +49,26 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	for mfclock.Sleep(ctx, w.Clock, roundEvery) {
+	for mfclock.Sleep(ctx, w.Clock, readInterval) {
 		now := w.Clock.Now()
 		used, err := w.Used()
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		w.round(now, now.Sub(began), used-before)
+		w.recordInterval(now, now.Sub(began), used-before)
 		began, before = now, used
 	}
 	return ctx.Err()
 }
 
-// round takes in what was used in one round.
-func (w *Watch) round(now time.Time, lasted, used time.Duration) {
+// recordInterval takes in what was used in one round.
+func (w *Monitor) recordInterval(now time.Time, lasted, used time.Duration) {
 	if lasted <= 0 {
 		return
 	}
 	share := used.Seconds() / lasted.Seconds()
-	w.share.Store(math.Float64bits(share))
-	rounds, warn := w.full.take(share, now)
+	w.coreFraction.Store(math.Float64bits(share))
+	rounds, warn := w.fullUse.record(share, now)
 	if !warn {
 		return
 	}
@@ -77,25 +77,25 @@
 	}).Warn("process uses a whole core")
 }
 
-// fullUse decides when full use is worth a line.
-type fullUse struct {
-	// rounds counts the rounds of full use since the last line.
-	rounds int
-	told   time.Time
+// fullUseLog decides when full use is worth a line.
+type fullUseLog struct {
+	// intervals counts the rounds of full use since the last line.
+	intervals int
+	loggedAt  time.Time
 }
 
-// take takes in a round's share of a core. It returns how many rounds of full use there were since the last
+// record takes in a round's share of a core. It returns how many rounds of full use there were since the last
 // line, and whether a line is due.
-func (f *fullUse) take(share float64, now time.Time) (int, bool) {
-	if share < fullShare {
+func (f *fullUseLog) record(share float64, now time.Time) (int, bool) {
+	if share < fullUseFraction {
 		return 0, false
 	}
-	f.rounds++
-	if !f.told.IsZero() && now.Sub(f.told) < warnEvery {
+	f.intervals++
+	if !f.loggedAt.IsZero() && now.Sub(f.loggedAt) < minWarnInterval {
 		return 0, false
 	}
-	rounds := f.rounds
-	f.rounds, f.told = 0, now
+	rounds := f.intervals
+	f.intervals, f.loggedAt = 0, now
 	return rounds, true
 }
 
