--- a/mfdocument/document.go
+++ b/mfdocument/document.go
@@ -196,7 +196,7 @@
 	maxWindow   = 366 * 24 * time.Hour
 )
 
-func (d *Document) check(text *mfyaml.Text) {
+func (d *Document) check(text *mfyaml.Validator) {
 	if !serviceName.MatchString(string(d.Service)) {
 		text.Reject("service", "must be a name of lower-case letters, digits and dashes, up to 63")
 	}
@@ -235,7 +235,7 @@
 	}
 }
 
-func (d *Document) checkUnavailability(text *mfyaml.Text) {
+func (d *Document) checkUnavailability(text *mfyaml.Validator) {
 	u := d.Unavailability
 	if u.Runners < 0 || u.Runners > d.Runners {
 		text.Reject("unavailability.runners", "must be from 0 to runners (%d)", d.Runners)
@@ -248,7 +248,7 @@
 	}
 }
 
-func (d *Document) checkRequests(text *mfyaml.Text) {
+func (d *Document) checkRequests(text *mfyaml.Validator) {
 	if d.Requests.Deadline <= 0 || d.Requests.Deadline > maxDeadline {
 		text.Reject("requests.deadline", "must be above 0 and at most %s", maxDeadline)
 	}
@@ -268,7 +268,7 @@
 	}
 }
 
-func checkNames[T ~string](text *mfyaml.Text, field string, names []T) {
+func checkNames[T ~string](text *mfyaml.Validator, field string, names []T) {
 	if len(names) == 0 {
 		text.Reject(field, "must list at least one")
 	}
--- a/mfsetting/setting.go
+++ b/mfsetting/setting.go
@@ -167,7 +167,7 @@
 	return settings, nil
 }
 
-func (s *Settings) check(text *mfyaml.Text) {
+func (s *Settings) check(text *mfyaml.Validator) {
 	if s.Daemon == "" {
 		text.Reject("daemon", "must name this daemon")
 	}
@@ -187,7 +187,7 @@
 	s.checkLog(text)
 }
 
-func (s *Settings) checkPeers(text *mfyaml.Text) {
+func (s *Settings) checkPeers(text *mfyaml.Validator) {
 	seen := map[mothferry.DaemonID]bool{s.Daemon: true}
 	for i, p := range s.Peers {
 		field := "peers." + strconv.Itoa(i)
@@ -202,7 +202,7 @@
 	}
 }
 
-func (s *Settings) checkPlatform(text *mfyaml.Text) {
+func (s *Settings) checkPlatform(text *mfyaml.Validator) {
 	address, err := url.Parse(s.Platform.URL)
 	if err != nil || address.Scheme != "http" && address.Scheme != "https" || address.Host == "" {
 		text.Reject("platform.url", "must be a URL such as http://127.0.0.1:9000")
@@ -214,7 +214,7 @@
 	checkPositive(text, "platform.timeout", s.Platform.Timeout)
 }
 
-func (s *Settings) checkTiming(text *mfyaml.Text) {
+func (s *Settings) checkTiming(text *mfyaml.Validator) {
 	checkPositive(text, "timing.heartbeat", s.Timing.Heartbeat)
 	checkPositive(text, "timing.poll", s.Timing.Poll)
 	checkPositive(text, "timing.control", s.Timing.Control)
@@ -232,7 +232,7 @@
 	}
 }
 
-func (s *Settings) checkLimits(text *mfyaml.Text) {
+func (s *Settings) checkLimits(text *mfyaml.Validator) {
 	for _, l := range []struct {
 		field string
 		value mothferry.Bytes
@@ -254,7 +254,7 @@
 	checkPositive(text, "limits.ledger_keep", s.Limits.LedgerKeep)
 }
 
-func (s *Settings) checkLog(text *mfyaml.Text) {
+func (s *Settings) checkLog(text *mfyaml.Validator) {
 	const levels = "must be debug, info, warn or error"
 	if _, err := log.ParseLevel(s.Log.Level); err != nil {
 		text.Reject("log.level", levels)
@@ -286,7 +286,7 @@
 	return members
 }
 
-func checkAddress(text *mfyaml.Text, field, value string) {
+func checkAddress(text *mfyaml.Validator, field, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil {
 		text.Reject(field, "must be an IP number and port such as 127.0.0.1:8080, not %q", value)
@@ -297,13 +297,13 @@
 	}
 }
 
-func checkPositive(text *mfyaml.Text, field string, d time.Duration) {
+func checkPositive(text *mfyaml.Validator, field string, d time.Duration) {
 	if d <= 0 {
 		text.Reject(field, "must be above 0")
 	}
 }
 
-func checkFraction(text *mfyaml.Text, field string, f float64) {
+func checkFraction(text *mfyaml.Validator, field string, f float64) {
 	if f < 0 || f > 1 {
 		text.Reject(field, "must be from 0 to 1")
 	}
--- a/mfyaml/decode.go
+++ b/mfyaml/decode.go
@@ -44,8 +44,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Text collects the problems of one text.
-type Text struct {
+// Validator collects the problems of one text.
+type Validator struct {
 	File     string
 	lines    map[string]int
 	problems []Problem
@@ -53,8 +53,8 @@
 
 // Decode reads one YAML mapping from data into out, a pointer to a struct.
 // Problems are collected in the returned Text; its Err reports them.
-func Decode(file string, data []byte, out any) *Text {
-	t := &Text{File: file, lines: map[string]int{}}
+func Decode(file string, data []byte, out any) *Validator {
+	t := &Validator{File: file, lines: map[string]int{}}
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var root yaml.Node
 	if err := decoder.Decode(&root); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // Reject notes a problem with a field, given by its dotted path.
-func (t *Text) Reject(field, want string, args ...any) {
+func (t *Validator) Reject(field, want string, args ...any) {
 	line, ok := t.lines[field]
 	for path := field; !ok && strings.Contains(path, "."); {
 		path = path[:strings.LastIndex(path, ".")]
@@ -94,7 +94,7 @@
 }
 
 // Err returns nil or an ErrInvalid with every problem, ordered by line.
-func (t *Text) Err() error {
+func (t *Validator) Err() error {
 	if len(t.problems) == 0 {
 		return nil
 	}
@@ -102,17 +102,17 @@
 	return &ErrInvalid{Problems: t.problems}
 }
 
-func (t *Text) add(line int, field, want string) {
+func (t *Validator) add(line int, field, want string) {
 	t.problems = append(t.problems, Problem{File: t.File, Line: line, Field: field, Want: want})
 }
 
 var (
-	durationType = reflect.TypeFor[time.Duration]()
-	textType     = reflect.TypeFor[encoding.TextUnmarshaler]()
+	durationType        = reflect.TypeFor[time.Duration]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
 // walk compares a node with the type it will be decoded into.
-func (t *Text) walk(n *yaml.Node, want reflect.Type, path string) {
+func (t *Validator) walk(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind == yaml.AliasNode {
 		t.add(n.Line, path, "must not be an alias")
 		return
@@ -120,7 +120,7 @@
 	switch {
 	case want.Kind() == reflect.Pointer:
 		t.walk(n, want.Elem(), path)
-	case want == durationType || reflect.PointerTo(want).Implements(textType):
+	case want == durationType || reflect.PointerTo(want).Implements(textUnmarshalerType):
 		t.walkScalar(n, want, path)
 	case want.Kind() == reflect.Struct:
 		t.walkStruct(n, want, path)
@@ -133,7 +133,7 @@
 	}
 }
 
-func (t *Text) walkStruct(n *yaml.Node, want reflect.Type, path string) {
+func (t *Validator) walkStruct(n *yaml.Node, want reflect.Type, path string) {
 	fields := map[string]reflect.Type{}
 	var names []string
 	for i := range want.NumField() {
@@ -152,16 +152,16 @@
 	})
 }
 
-func (t *Text) walkMap(n *yaml.Node, want reflect.Type, path string) {
+func (t *Validator) walkMap(n *yaml.Node, want reflect.Type, path string) {
 	t.eachField(n, path, func(_, value *yaml.Node, field string) {
 		t.walk(value, want.Elem(), field)
 	})
 }
 
 // eachField visits the entries of a mapping and reports repeated ones.
-func (t *Text) eachField(n *yaml.Node, path string, visit func(key, value *yaml.Node, field string)) {
+func (t *Validator) eachField(n *yaml.Node, path string, visit func(key, value *yaml.Node, field string)) {
 	if n.Kind != yaml.MappingNode {
-		t.add(n.Line, orText(path), "must be a mapping of fields")
+		t.add(n.Line, pathOrText(path), "must be a mapping of fields")
 		return
 	}
 	seen := map[string]bool{}
@@ -178,7 +178,7 @@
 	}
 }
 
-func (t *Text) walkList(n *yaml.Node, want reflect.Type, path string) {
+func (t *Validator) walkList(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind != yaml.SequenceNode {
 		t.add(n.Line, path, "must be a list")
 		return
@@ -190,9 +190,9 @@
 	}
 }
 
-func (t *Text) walkScalar(n *yaml.Node, want reflect.Type, path string) {
+func (t *Validator) walkScalar(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind != yaml.ScalarNode {
-		t.add(n.Line, orText(path), "must be a single value")
+		t.add(n.Line, pathOrText(path), "must be a single value")
 		return
 	}
 	value := reflect.New(want)
@@ -207,7 +207,7 @@
 	switch {
 	case want == durationType:
 		return "a duration such as 1s or 250ms"
-	case reflect.PointerTo(want).Implements(textType):
+	case reflect.PointerTo(want).Implements(textUnmarshalerType):
 		return err.Error()
 	case want.Kind() == reflect.Bool:
 		return "true or false"
@@ -227,7 +227,7 @@
 	return path + "." + name
 }
 
-func orText(path string) string {
+func pathOrText(path string) string {
 	if path == "" {
 		return "(text)"
 	}
