--- a/mfplace/plan.go
+++ b/mfplace/plan.go
@@ -1,5 +1,5 @@
-// Package mfplace decides where a shard's runners go. Plan is a pure function
-// of what is known of the shard: it starts nothing and reads no clock.
+// Package mfplace decides where a shard's runners go. Plan is a pure function of the known
+// state of the shard: it starts nothing and reads no clock.
 package mfplace
 
 import (
@@ -14,12 +14,13 @@
 	"mothferry/mfplacement"
 )
 
-// Host is one host of the shard as control sees it.
+// Host is the state of one host of the shard.
 type Host struct {
 	Record mfhost.Record
-	// Listed is what the platform's host list says; empty if it lacks the host.
+	// Listed is the host's state in the platform's host list; empty if the host is missing
+	// there.
 	Listed mothferry.HostState
-	// Reported tells that the worker's report was received, with its tasks.
+	// Reported is set if the worker's report, with its tasks, was received.
 	Reported bool
 	Tasks    map[mothferry.TaskID]mothferry.TaskStatus
 }
@@ -28,42 +29,42 @@
 type Input struct {
 	Shard mothferry.Shard
 	Epoch mothferry.Epoch
-	// Previous is the published placement, the zero record if there is none.
+	// Previous is the published placement, or the zero record if there is none.
 	Previous mfplacement.Record
 	// Documents are those in force at Revision.
 	Documents []mfdocument.Document
 	Revision  mothferry.Revision
 	Hosts     []Host
-	// Quiesced reports whether every entry host knows that a runner is leaving
-	// and has nothing in flight there.
+	// Quiesced reports whether every entry host knows that a runner is leaving and has no
+	// requests in flight there.
 	Quiesced func(r mfplacement.Runner) bool
 }
 
-// Start asks for a task to be started on a host.
+// Start requests that a task be started on a host.
 type Start struct {
 	Host mothferry.HostID
 	Task mothferry.TaskSpec
 }
 
-// Stop asks for a task to be stopped.
+// Stop requests that a task be stopped.
 type Stop struct {
 	Host mothferry.HostID
 	Task mothferry.TaskID
 }
 
-// Output is a plan: the placement to publish, and what to ask of workers once
-// it is published. Changed tells whether the placement differs from the
-// previous one. Asking for a start or stop again has no further effect.
+// Output is a plan: the placement to publish, and the starts and stops to request from workers
+// once it is published. Changed reports whether the placement differs from the previous one.
+// Repeating a start or stop request has no further effect.
 type Output struct {
 	Placement mfplacement.Record
 	Changed   bool
 	Starts    []Start
 	Stops     []Stop
-	// Unplaced counts the runners for which no host had room, by service.
+	// Unplaced counts, by service, the runners for which no host had enough free capacity.
 	Unplaced map[mothferry.ServiceID]int
 }
 
-// planner holds a plan in the making.
+// planner is the working state of one Plan.
 type planner struct {
 	input          Input
 	hosts          map[mothferry.HostID]*Host
@@ -75,21 +76,21 @@
 	failures       map[mothferry.HostID]int
 }
 
-// Plan works out the next placement of a shard:
+// Plan computes the next placement of a shard:
 //
-//  1. Runners are brought up to what their workers report; those that failed
-//     or whose host is gone are dropped.
-//  2. Each service gets new runners until those on hosts that stay are as
-//     many as its document asks of this shard. Spread over racks and hosts
-//     comes first, then the least loaded host. A host where tasks failed is
-//     taken only when no other has room: it is often the emptiest, and would
-//     otherwise be chosen for every replacement.
-//  3. Runners on hosts that the platform lists as leaving leave at once: they
+//  1. Runners are updated to what their workers report; those that failed or whose host is gone
+//     are removed.
+//  2. Each service gets new runners until the number of its runners on schedulable hosts reaches
+//     what its document requests of this shard. Spread over racks and hosts comes first, then
+//     the least loaded host. A host where tasks failed is chosen only when no other has enough
+//     free capacity: it is often the emptiest, and would otherwise be chosen for every
+//     replacement.
+//  3. Runners on hosts that the platform lists as leaving are marked as leaving immediately: they
 //     will be gone whatever the plan, and must get no new work.
-//  4. Runners beyond the wanted number leave: first those on hosts that are
-//     being emptied by decision, and these only as replacements serve, so that
-//     a planned emptying never lowers the number that serve.
-//  5. Runners that leave are stopped once all entry hosts are done with them.
+//  4. Runners beyond the wanted number are marked as leaving, and so are those on hosts that are
+//     being evacuated by decision. The latter leave only as replacements serve, so that a planned
+//     evacuation never lowers the number of serving runners.
+//  5. Leaving runners are stopped once they are quiesced at all entry hosts.
 func Plan(in Input) Output {
 	p := &planner{
 		input:          in,
@@ -120,7 +121,7 @@
 	return p.output()
 }
 
-// applyReports brings the runners up to their workers' reports.
+// applyReports updates the runners to their workers' reports.
 func (p *planner) applyReports() {
 	for _, r := range p.input.Previous.Runners {
 		if kept, ok := p.applyReport(r); ok {
@@ -153,7 +154,7 @@
 	return r, true
 }
 
-// evacuateLeavingHosts lets runners leave whose hosts the platform is taking away.
+// evacuateLeavingHosts marks runners as leaving whose hosts the platform is removing.
 func (p *planner) evacuateLeavingHosts() {
 	for i, r := range p.runners {
 		if active(r) && p.hosts[r.Host].Listed == mothferry.HostLeaving {
@@ -166,20 +167,20 @@
 	r.State, r.LeavingSince = mfplacement.StateLeaving, p.nextGeneration
 }
 
-// schedulable reports whether runners may be placed on a host and stay there.
+// schedulable reports whether runners may be placed on a host and remain there.
 func schedulable(h *Host) bool {
 	return h.Record.State == mfhost.StateServing && h.Listed == mothferry.HostLive && h.Reported
 }
 
-// addRunners places runners of a service until enough are on hosts that stay.
+// addRunners places runners of a service until enough are on schedulable hosts.
 func (p *planner) addRunners(d mfdocument.Document) {
-	have := 0
+	placed := 0
 	for _, r := range p.runners {
 		if r.Service == d.Service && active(r) && schedulable(p.hosts[r.Host]) {
-			have++
+			placed++
 		}
 	}
-	for range d.Share(p.input.Shard) - have {
+	for range d.Share(p.input.Shard) - placed {
 		host := p.selectHost(d)
 		if host == nil {
 			p.unplaced[d.Service]++
@@ -199,8 +200,8 @@
 	}
 }
 
-// taskID makes a task id. The generation is used by one write only, so no
-// other plan ever makes the same id.
+// taskID returns a new task id. Each generation is used by one write only, so no other plan
+// creates the same id.
 func (p *planner) taskID(service mothferry.ServiceID) mothferry.TaskID {
 	s := p.input.Shard
 	return mothferry.TaskID(fmt.Sprintf("%s.%s.%s.%d.%d", service, s.DataCentre, s.Pool, p.nextGeneration, p.created))
@@ -210,7 +211,8 @@
 	return r.State == mfplacement.StateStarting || r.State == mfplacement.StateServing
 }
 
-// selectHost returns the host for one more runner of a service, nil if none has room.
+// selectHost returns the host for one more runner of a service, nil if none has enough free
+// capacity.
 func (p *planner) selectHost(d mfdocument.Document) *Host {
 	onRack := map[mothferry.RackID]int{}
 	onHost := map[mothferry.HostID]int{}
@@ -246,13 +248,12 @@
 	)
 }
 
-// removeRunners lets runners of a service leave: those on hosts that stay beyond the
-// share, and those on hosts being emptied. Of the latter one that serves may
-// leave for each runner that serves beyond the share, so that a replacement
-// comes first. A replacement that has not started to serve is not what is too
-// many, though for a while there are more runners than the share.
+// removeRunners marks runners of a service as leaving: those on schedulable hosts beyond the
+// share, and those on hosts being evacuated. A serving runner of the latter may leave for each
+// runner that serves beyond the share, so that a replacement comes first. Replacements that do
+// not serve yet do not count, though for a while there are more runners than the share.
 func (p *planner) removeRunners(service mothferry.ServiceID, share int) {
-	var staying, emptied []*mfplacement.Runner
+	var staying, evacuating []*mfplacement.Runner
 	serving := 0
 	for i := range p.runners {
 		r := &p.runners[i]
@@ -265,10 +266,10 @@
 		if schedulable(p.hosts[r.Host]) {
 			staying = append(staying, r)
 		} else {
-			emptied = append(emptied, r)
+			evacuating = append(evacuating, r)
 		}
 	}
-	// Those that do not serve yet leave first, then the youngest.
+	// Runners that do not serve yet leave first, then the youngest.
 	slices.SortStableFunc(staying, func(a, b *mfplacement.Runner) int {
 		return compareBool(b.State == mfplacement.StateStarting, a.State == mfplacement.StateStarting)
 	})
@@ -280,7 +281,7 @@
 		}
 		p.markLeaving(r)
 	}
-	for _, r := range emptied {
+	for _, r := range evacuating {
 		switch {
 		case r.State == mfplacement.StateStarting:
 			p.markLeaving(r)
@@ -291,7 +292,7 @@
 	}
 }
 
-// compareBool orders false after true.
+// compareBool orders true before false.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -303,7 +304,7 @@
 	}
 }
 
-// stopQuiesced moves runners that no entry host uses any more to stopping.
+// stopQuiesced marks quiesced leaving runners as stopping.
 func (p *planner) stopQuiesced() {
 	for i, r := range p.runners {
 		if r.State == mfplacement.StateLeaving && r.LeavingSince < p.nextGeneration && p.input.Quiesced(r) {
@@ -346,8 +347,8 @@
 	return out
 }
 
-// stopOrphaned returns the tasks that workers report and the plan does not hold:
-// tasks are published before they are started, so these have been given up.
+// stopOrphaned returns stops for the tasks that workers report and the plan does not contain.
+// Tasks are published before they are started, so these are no longer wanted.
 func (p *planner) stopOrphaned() []Stop {
 	planned := map[mothferry.TaskID]bool{}
 	for _, r := range p.runners {
--- a/mfplace/plan_test.go
+++ b/mfplace/plan_test.go
@@ -16,7 +16,7 @@
 
 var shard = mothferry.Shard{DataCentre: "dc1", Pool: "p"}
 
-// fleet is a shard of workers that do what plans ask of them, some of the time.
+// fleet is a shard whose workers carry out each plan at once.
 type fleet struct {
 	hosts     []Host
 	documents []mfdocument.Document
@@ -52,7 +52,7 @@
 	f.documents = append(f.documents, d)
 }
 
-// step plans once and lets the workers carry the plan out.
+// step computes one plan and lets the workers carry it out.
 func (f *fleet) step() Output {
 	out := Plan(Input{Shard: shard, Epoch: 1, Previous: f.placement, Documents: f.documents, Hosts: f.hosts, Quiesced: func(mfplacement.Runner) bool { return f.quiesced }})
 	f.placement = out.Placement
@@ -90,10 +90,10 @@
 	}
 }
 
-// TestPlanInvariants plays any sequence of document changes, failing tasks, dying,
-// emptied and leaving hosts. No host is ever overfilled, no task id is used
-// twice, and once things are quiet exactly the wanted runners serve, on hosts
-// that stay, and nothing changes any more.
+// TestPlanInvariants runs random sequences of document changes, failing tasks, and hosts that
+// die, leave or are evacuated. No host is ever overcommitted and no task id is used twice.
+// Once the hosts are healthy again, exactly the wanted runners serve, on schedulable hosts,
+// and the plan no longer changes.
 func TestPlanInvariants(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		f := newFleet(16)
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestEvacuationKeepsServing: emptying hosts by decision never lowers the number
-// of runners that serve, and no runner moves twice though hosts go one by one.
+// TestEvacuationKeepsServing checks that evacuating hosts one by one never lowers the number
+// of serving runners and leaves each host without tasks.
 func TestEvacuationKeepsServing(t *testing.T) {
 	f := newFleet(12)
 	f.setDocument("a", 8)
@@ -164,8 +164,8 @@
 	assert.Equal(t, f.serving("a"), 8)
 }
 
-// TestLeavingHostGetsNoWork: a host that the platform takes away gets no new
-// work at once, though no other host has room for its runners.
+// TestLeavingHostGetsNoWork checks that runners on a host that the platform removes get no new
+// work immediately, even if no other host has free capacity for them.
 func TestLeavingHostGetsNoWork(t *testing.T) {
 	f := newFleet(1)
 	f.setDocument("a", 2)
@@ -178,9 +178,9 @@
 	assert.Equal(t, out.Unplaced["a"], 2)
 }
 
-// TestFailingHostIsAvoided: symptom, a service never gets its runners though
-// most hosts are fine. Sequence: a worker fails every task and is therefore
-// the emptiest. Cause: choosing the emptiest host without regard to failures.
+// TestFailingHostIsAvoided checks that a service gets its runners although one worker fails
+// every task. Such a worker is the emptiest host, and would be chosen for every replacement if
+// failures were ignored.
 func TestFailingHostIsAvoided(t *testing.T) {
 	f := newFleet(4)
 	for i := range f.hosts {
@@ -199,8 +199,8 @@
 	assert.Equal(t, f.placement.Failures[failing.Record.Host], 1)
 }
 
-// BenchmarkPlan measures one plan of a shard where nothing changes, by its
-// number of hosts, with four runners on each.
+// BenchmarkPlan measures one plan of an unchanged shard by its number of hosts, with four
+// runners on each.
 func BenchmarkPlan(b *testing.B) {
 	for _, hosts := range []int{19, 76, 304} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
--- a/mfplacement/placement.go
+++ b/mfplacement/placement.go
@@ -1,5 +1,5 @@
-// Package mfplacement holds the published placement of one shard: which
-// runners of which services run where, as the shard's holder last wrote it.
+// Package mfplacement holds the published placement of one shard: which runners of which
+// services run where, as last written by the shard's holder.
 package mfplacement
 
 import (
@@ -11,17 +11,17 @@
 	"mothferry"
 )
 
-// State is a placed runner's state as its shard's holder publishes it.
+// State is the state of a placed runner as published by its shard's holder.
 type State string
 
 // States of a placed runner.
 const (
-	// StateStarting means that the task was decided on and does not serve yet.
+	// StateStarting means that the task is placed and does not serve yet.
 	StateStarting State = "starting"
 	// StateServing means that requests may be sent to the runner.
 	StateServing State = "serving"
-	// StateLeaving means that the runner gets no new requests and will be
-	// stopped once every entry host has none in flight there.
+	// StateLeaving means that the runner gets no new requests and will be stopped once no
+	// entry host has requests in flight there.
 	StateLeaving State = "leaving"
 	// StateStopping means that the worker was told to stop the task.
 	StateStopping State = "stopping"
@@ -41,18 +41,18 @@
 	LeavingSince mothferry.Generation `json:"leaving_since,omitempty"`
 }
 
-// Record is the placement of one shard: a row of the platform's table.
+// Record is the placement of one shard, stored as a row of the platform's table.
 type Record struct {
 	DataCentre mothferry.DataCentre `json:"data_centre"`
 	Pool       mothferry.PoolID     `json:"pool"`
 	// Epoch is that of the lease under which the record was written.
 	Epoch mothferry.Epoch `json:"epoch"`
-	// Generation grows by one with each write, over all epochs.
+	// Generation grows by one with each write, across epochs.
 	Generation mothferry.Generation `json:"generation"`
-	// Revision is that of the documents by which the record was planned.
+	// Revision is that of the documents from which the record was planned.
 	Revision mothferry.Revision `json:"revision"`
 	Runners  []Runner           `json:"runners"`
-	// Failures counts, by host, the tasks that failed there since one last served.
+	// Failures counts, by host, the tasks that failed there since one last started to serve.
 	Failures map[mothferry.HostID]int `json:"failures,omitempty"`
 }
 
@@ -89,9 +89,8 @@
 	return record, nil
 }
 
-// GenerationPrefix returns the key prefix of the rows that hold only the
-// generations of a data centre's placements, so that daemons see what is new
-// without reading whole placements.
+// GenerationPrefix returns the key prefix of the rows that hold only the generations of a data
+// centre's placements, so that daemons can detect new placements without reading them whole.
 func GenerationPrefix(dc mothferry.DataCentre) mothferry.Key {
 	return mothferry.Key(fmt.Sprintf("generations/%s/", dc))
 }
--- a/mfroute/balancer.go
+++ b/mfroute/balancer.go
@@ -1,8 +1,7 @@
-// Package mfroute chooses the runner of each request: within this daemon's
-// share of every runner's slots, beyond it where other daemons' slots are
-// idle, away from runners that fail or leave, and with a bounded queue in
-// front. The Balancer is a state machine without goroutines or timers;
-// Service makes it safe to share.
+// Package mfroute chooses the runner for each request. It sends requests within this daemon's
+// share of every runner's slots, borrows idle slots of other daemons beyond that share, avoids
+// runners that fail or leave, and queues a bounded number of requests. The Balancer is a state
+// machine without goroutines or timers; Router makes it safe for concurrent use.
 package mfroute
 
 import (
@@ -15,35 +14,36 @@
 	"mothferry/mfplacement"
 )
 
-// Limits bounds what a balancer does.
+// Limits configures a balancer.
 type Limits struct {
-	// Queue bounds the requests that wait.
+	// Queue bounds the number of waiting requests.
 	Queue int
-	// MaxWaitFraction is the largest part of a request's remaining time that it may
-	// be expected to wait; above it the request is refused at once.
+	// MaxWaitFraction is the largest fraction of a request's remaining time that its estimated
+	// wait may take; above it the request is refused immediately.
 	MaxWaitFraction float64
-	// MaxOverloadWaitFraction takes the place of WaitShare while callers ask for more
-	// than the runners have.
+	// MaxOverloadWaitFraction replaces MaxWaitFraction while demand exceeds the runners'
+	// slots.
 	MaxOverloadWaitFraction float64
-	// MaxEjectedFraction is the largest part of the runners that may be ejected at once.
+	// MaxEjectedFraction is the largest fraction of the runners that may be ejected at the
+	// same time.
 	MaxEjectedFraction float64
-	// RetryRatio is the number of second tries allowed for each first try.
+	// RetryRatio is the number of retries allowed for each first attempt.
 	RetryRatio float64
-	// Borrow allows slots beyond this daemon's share where peers leave them idle.
+	// Borrow allows use of slots beyond this daemon's share while peers leave them idle.
 	Borrow bool
 }
 
-// Ticket is a request's wait for a runner.
+// Ticket is a request that waits for a runner.
 type Ticket struct {
 	Customer mothferry.CustomerID
 	Priority mfadmit.Priority
 	Deadline time.Time
-	// Exclude lists the runners that must not be chosen, because they already failed this request.
+	// Exclude lists runners that must not be chosen because they already failed this request.
 	Exclude map[mothferry.TaskID]bool
-	// Reattempt marks a second or later try, which is not held to the limits anew.
+	// Reattempt marks a second or later attempt, which skips the admission limits.
 	Reattempt bool
-	// Retry marks a try after a failure, which draws on the retry budget. A
-	// try after a refusal costs the runner next to nothing and does not.
+	// Retry marks an attempt after a failure, which draws on the retry budget. An attempt
+	// after a refusal costs the runner next to nothing and does not.
 	Retry bool
 	// Decide is called once, with a lease or an ErrNotRun. It must not block.
 	Decide func(*Lease, error)
@@ -55,9 +55,9 @@
 type Lease struct {
 	Task    mothferry.TaskID
 	Address string
-	// Connections is the runner's limit over all daemons.
+	// Connections is the runner's connection limit over all daemons.
 	Connections mothferry.Connections
-	// Borrowed tells that the slot is beyond this daemon's share.
+	// Borrowed reports whether the slot is beyond this daemon's share.
 	Borrowed bool
 
 	runner   *runner
@@ -65,24 +65,24 @@
 	granted  time.Time
 }
 
-// Mean service time: the assumption before the first answer, and the weight
-// of each answer in the moving average.
+// Mean service time: the estimate before the first answer, and the weight of each answer in
+// the moving average.
 const (
 	initialServiceTime = 50 * time.Millisecond
 	serviceTimeWeight  = 0.05
 )
 
-// Retry budget: its largest balance, which is also what it starts with.
+// maxRetryBudget is the largest balance of the retry budget, and its initial balance.
 const maxRetryBudget = 10
 
-// Bounds of the time after which a refused caller is told to come back.
+// Limits of the retry delay that a refusal carries.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// Balancer routes the requests of one service at one daemon. It is not safe
-// for concurrent use.
+// Balancer routes the requests of one service at one daemon. It is not safe for concurrent
+// use.
 type Balancer struct {
 	Self   mothferry.DaemonID
 	Clock  mothferry.Clock
@@ -91,29 +91,30 @@
 
 	document mfdocument.Document
 	queue    mfadmit.Queue[*Ticket]
-	// runners are ordered by task id.
+	// runners are sorted by task id.
 	runners []*runner
-	// departed are runners no longer placed that still have requests in flight.
+	// departed holds runners that are no longer placed but still have requests in flight.
 	departed        map[*runner]bool
 	meanServiceTime float64
 	retryBudget     float64
-	// borrowLimit bounds the borrowed slots, and borrowed counts them.
+	// borrowLimit bounds the borrowed slots, borrowed counts them.
 	borrowLimit int
 	borrowed    int
-	// members share the runners; weights are what they last said of their demand.
+	// members are the daemons that share the runners, memberDemand the demand that each last
+	// reported.
 	members      []mothferry.DaemonID
 	memberDemand map[mothferry.DaemonID]float64
-	// demand is the moving average of this daemon's demand, arrived the
-	// requests since measured, and told what the peers were last told.
+	// demand is the moving average of this daemon's demand, arrivals counts the requests since
+	// measuredAt, and publishedDemand is the demand that peers were last sent.
 	demand          float64
 	publishedDemand float64
 	arrivals        int
 	measuredAt      time.Time
-	// overloaded tells that the callers of all members ask for more than the runners have.
+	// overloaded reports whether the demand of all members exceeds the runners' slots.
 	overloaded bool
 }
 
-// Update takes over a new document, placement or membership of the data centre.
+// Update applies a new document, placement or membership of the data centre.
 func (b *Balancer) Update(d mfdocument.Document, placed []mfplacement.Runner, members []mothferry.DaemonID) {
 	if b.departed == nil {
 		b.departed = map[*runner]bool{}
@@ -149,7 +150,7 @@
 	b.grant()
 }
 
-// Submit asks for a runner. The ticket's Decide is called now or later.
+// Submit requests a runner. The ticket's Decide is called before Submit returns or later.
 func (b *Balancer) Submit(t *Ticket) {
 	if err := b.admit(t); err != nil {
 		t.Decide(nil, err)
@@ -162,7 +163,8 @@
 	b.grant()
 }
 
-// admit refuses at once what could not be served in time.
+// admit refuses requests that could not be served before their deadline or that exceed a
+// limit.
 func (b *Balancer) admit(t *Ticket) error {
 	now := b.Clock.Now()
 	if !b.anyUsable(now, t.Exclude) {
@@ -182,23 +184,22 @@
 	if b.queue.Outstanding(t.Customer) >= b.document.InFlightLimit(t.Customer) {
 		return b.refusal(mothferry.ReasonCustomerLimit)
 	}
-	left := t.Deadline.Sub(now)
-	if left <= 0 {
+	remaining := t.Deadline.Sub(now)
+	if remaining <= 0 {
 		return b.refusal(mothferry.ReasonDeadline)
 	}
 	ahead := b.queue.Ahead(t.Customer, t.Priority)
-	if ahead > 0 && float64(b.estimateWait(ahead)) > b.maxWaitFraction(t.Customer)*float64(left) {
+	if ahead > 0 && float64(b.estimateWait(ahead)) > b.maxWaitFraction(t.Customer)*float64(remaining) {
 		return b.refusal(mothferry.ReasonOverload)
 	}
 	return nil
 }
 
-// maxWaitFraction returns the part of its time that a request may be expected to
-// wait. Under overload the queue never empties: its length then only adds to
-// everybody's time without one request more being answered. A customer with
-// at most one request above an equal part of the slots is not what causes the
-// overload, and keeps the longer wait: with few slots a single turn of the
-// others' would otherwise be too long for it.
+// maxWaitFraction returns the fraction of its remaining time that a request may be expected to
+// wait. Under overload the queue never empties, so a longer queue adds to the latency of all
+// requests without raising throughput. A customer with at most one request above an equal
+// share of the slots does not cause the overload and keeps the longer wait: with few slots,
+// one round of the other customers' requests would already exceed the shorter one.
 func (b *Balancer) maxWaitFraction(customer mothferry.CustomerID) float64 {
 	if b.overloaded && (b.queue.Outstanding(customer)-1)*b.queue.Customers() >= b.capacity() {
 		return b.Limits.MaxOverloadWaitFraction
@@ -206,7 +207,7 @@
 	return b.Limits.MaxWaitFraction
 }
 
-// Cancel gives up a ticket that still waits, and reports whether it did.
+// Cancel removes a ticket that is still waiting, and reports whether it was.
 func (b *Balancer) Cancel(t *Ticket) bool {
 	return t.waiter != nil && b.queue.Remove(t.waiter)
 }
@@ -227,7 +228,7 @@
 		b.meanServiceTime += serviceTimeWeight * (float64(now.Sub(l.granted)) - b.meanServiceTime)
 	}
 	if l.Borrowed && result == ResultBusy {
-		// The counts were stale: what is believed idle is not.
+		// The peers' counts were stale: slots that seemed idle are not.
 		b.borrowLimit = b.borrowed
 	}
 	r.recordResult(result, now, b.Random)
@@ -235,10 +236,10 @@
 	b.grant()
 }
 
-// Wake grants what time alone has made possible, such as the end of an ejection.
+// Wake grants slots that became available with time alone, such as at the end of an ejection.
 func (b *Balancer) Wake() { b.grant() }
 
-// Stop refuses everything that waits.
+// Stop refuses all waiting requests.
 func (b *Balancer) Stop() {
 	all := func(*mfadmit.Waiter[*Ticket]) bool { return true }
 	for _, w := range b.queue.RemoveIf(all) {
@@ -246,7 +247,7 @@
 	}
 }
 
-// grant gives free slots to waiting requests.
+// grant assigns free slots to waiting requests.
 func (b *Balancer) grant() {
 	for b.queue.Len() > 0 {
 		now := b.Clock.Now()
@@ -254,9 +255,9 @@
 		if w == nil {
 			break
 		}
-		// The runner is chosen for the request that was taken out. The queue
-		// looks at several requests before it decides on one, and a runner
-		// that fits another may be one that this one excludes.
+		// The runner is chosen for the request that was dequeued. The queue tests several
+		// requests before it picks one, and a runner that suits another request may be
+		// excluded for this one.
 		chosen, borrowed := b.choose(now, w.Value.Exclude)
 		b.lease(w.Value, chosen, borrowed, now)
 	}
@@ -277,21 +278,21 @@
 	}, nil)
 }
 
-// refuseUnroutable refuses at once the waiting requests that no runner is left for.
+// refuseUnroutable refuses waiting requests for which no usable runner is left.
 func (b *Balancer) refuseUnroutable() {
 	if b.queue.Len() == 0 {
 		return
 	}
 	now := b.Clock.Now()
-	stranded := func(w *mfadmit.Waiter[*Ticket]) bool { return !b.anyUsable(now, w.Value.Exclude) }
-	for _, w := range b.queue.RemoveIf(stranded) {
+	unroutable := func(w *mfadmit.Waiter[*Ticket]) bool { return !b.anyUsable(now, w.Value.Exclude) }
+	for _, w := range b.queue.RemoveIf(unroutable) {
 		w.Value.Decide(nil, b.refusal(mothferry.ReasonNoRunner))
 	}
 }
 
-// choose returns the runner with the most room within this daemon's shares,
-// else one to borrow a slot from, else nil. Ties are broken at random, since
-// a fixed order would load the first runners more.
+// choose returns the runner with the most free slots within this daemon's shares, else one to
+// borrow a slot from, else nil. Ties are broken at random, since a fixed order would put more
+// load on the first runners.
 func (b *Balancer) choose(now time.Time, exclude map[mothferry.TaskID]bool) (*runner, bool) {
 	best := b.pickMost(func(r *runner) int { return r.freeOwnSlots(now, exclude) })
 	if best != nil || !b.mayBorrow() {
@@ -316,12 +317,12 @@
 	return b.Limits.Borrow && b.borrowed < b.borrowLimit
 }
 
-// pickMost returns a runner with the highest room above 0.
-func (b *Balancer) pickMost(room func(*runner) int) *runner {
+// pickMost returns a runner for which slots is highest and above 0, at random among equals.
+func (b *Balancer) pickMost(slots func(*runner) int) *runner {
 	var best *runner
 	highest, ties := 0, 0
 	for _, r := range b.runners {
-		n := room(r)
+		n := slots(r)
 		switch {
 		case n <= 0 || n < highest:
 		case n > highest:
@@ -336,9 +337,9 @@
 	return best
 }
 
-// capEjections lets the runner with the least time left return while too many
-// are ejected. If most runners fail together the cause is rarely the runners,
-// and with none left every request would be refused.
+// capEjections ends the ejections that expire first while too many runners are ejected. If
+// most runners fail together, the runners are rarely the cause, and with none left every
+// request would be refused.
 func (b *Balancer) capEjections(now time.Time) {
 	var ejected []*runner
 	for _, r := range b.runners {
@@ -362,12 +363,12 @@
 	return false
 }
 
-// estimateWait estimates how long it takes to start what is ahead.
+// estimateWait estimates how long it takes until the requests ahead and one more are started.
 func (b *Balancer) estimateWait(ahead int) time.Duration {
 	return time.Duration(float64(ahead+1) * b.meanServiceTime / float64(max(b.capacity(), 1)))
 }
 
-// capacity is how many requests this daemon can have in work at once.
+// capacity returns how many requests this daemon can have in flight at the same time.
 func (b *Balancer) capacity() int {
 	now := b.Clock.Now()
 	total := b.borrowed
@@ -379,17 +380,16 @@
 	return total
 }
 
-// refusal makes an ErrNotRun with a time to come back: when the present
-// backlog should be gone, spread over twice that time so that refused callers
-// do not return together.
+// refusal returns an ErrNotRun with a retry delay: the estimated time to clear the present
+// backlog, spread over up to twice that time so that refused callers do not retry together.
 func (b *Balancer) refusal(reason mothferry.Reason) *mothferry.ErrNotRun {
 	backlog := max(b.estimateWait(b.queue.Len()), minRetryAfter)
-	spread := time.Duration(float64(backlog) * (1 + b.Random.Float64()))
-	return &mothferry.ErrNotRun{Reason: reason, RetryAfter: min(spread, maxRetryAfter)}
+	delay := time.Duration(float64(backlog) * (1 + b.Random.Float64()))
+	return &mothferry.ErrNotRun{Reason: reason, RetryAfter: min(delay, maxRetryAfter)}
 }
 
-// InFlightLeaving returns the requests in flight at runners of a pool that
-// get no new ones: leaving, stopping, or no longer placed.
+// InFlightLeaving returns the number of requests in flight at runners of a pool that are not
+// serving, and at all runners that are no longer placed.
 func (b *Balancer) InFlightLeaving(pool map[mothferry.TaskID]bool) int {
 	count := 0
 	for _, r := range b.runners {
--- a/mfroute/balancer_test.go
+++ b/mfroute/balancer_test.go
@@ -18,8 +18,8 @@
 	"mothferry/mfplacement"
 )
 
-// TestSharesAddUp shows that the members' shares of each runner add up to its
-// slots, and each member's shares over all runners to its part of the whole.
+// TestSharesAddUp checks that the members' shares of each runner add up to its slots, and that
+// each member's shares over all runners are in proportion to its weight.
 func TestSharesAddUp(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		weights := map[mothferry.DaemonID]float64{}
@@ -53,7 +53,7 @@
 	})
 }
 
-// balancerFixture is a balancer with what the test knows of its tickets.
+// balancerFixture is a balancer together with the tickets that a test submitted.
 type balancerFixture struct {
 	balancer *Balancer
 	clock    *mffake.Clock
@@ -106,10 +106,9 @@
 	k.balancer.Release(l, result)
 }
 
-// TestBalancerInvariants plays any sequence of requests, ends, failures
-// and placements. No new work goes to a runner that is leaving, ejected or
-// full; no more are ejected than the cap allows; each request is decided once,
-// and every refusal says when to come back.
+// TestBalancerInvariants runs random sequences of requests, results, failures and placements.
+// No request goes to a runner that is leaving, ejected or full, no more runners are ejected
+// than allowed, each request is decided exactly once, and every refusal carries a retry delay.
 func TestBalancerInvariants(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		k := newBalancerFixture(rapid.IntRange(1, 6).Draw(t, "runners"), Limits{Queue: 10, MaxWaitFraction: 1, MaxOverloadWaitFraction: 1, MaxEjectedFraction: 0.5, RetryRatio: 0.2, Borrow: true})
@@ -163,9 +162,9 @@
 	})
 }
 
-// TestFailedConnectEjectsRunner: symptom, each request rediscovers a dead runner.
-// One failed connect is enough to keep the others away, for a short while
-// that grows as the runner stays dead, and it comes back slowly.
+// TestFailedConnectEjectsRunner checks that one failed connect keeps further requests away
+// from a dead runner, instead of each request failing there again, and that a runner back from
+// ejection gets one request first.
 func TestFailedConnectEjectsRunner(t *testing.T) {
 	k := newBalancerFixture(2, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	k.submit("c")
@@ -190,8 +189,8 @@
 	assert.Equal(t, seen, 1, "a returning runner gets one request first")
 }
 
-// TestRetryBudget: symptom, a failing service gets several times its load.
-// Second tries are bounded by a part of the first ones, after a small burst.
+// TestRetryBudget checks that retries are limited to a fraction of the first attempts after a
+// small burst, so that a failing service does not get several times its load.
 func TestRetryBudget(t *testing.T) {
 	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0, RetryRatio: 0.2})
 	granted := 0
@@ -212,10 +211,9 @@
 	assert.Assert(t, granted >= first/5)
 }
 
-// TestWindowGrowsWithoutAnswers: symptom, a waking customer's slow requests time
-// out in the queue of idle runners. Sequence: new runners get one request each
-// and no more until the first answer, seconds later. Cause: a window that
-// grows with answers alone.
+// TestWindowGrowsWithoutAnswers checks that requests are not held back at idle runners until
+// the first answer. With a window that grows with answers alone, new runners got one request
+// each, and a customer's slow requests timed out in the queue.
 func TestWindowGrowsWithoutAnswers(t *testing.T) {
 	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	for range 4 {
@@ -227,8 +225,8 @@
 	assert.Equal(t, len(k.leases), 4)
 }
 
-// TestFairQueue: symptom, one customer's burst starves the others. The burst
-// waits behind its own requests and is what a full queue gives up.
+// TestFairQueue checks that one customer's burst does not starve the others: the burst waits
+// behind its own requests, and a full queue evicts from it.
 func TestFairQueue(t *testing.T) {
 	q := mfadmit.Queue[int]{Limit: 6}
 	wait := func(c mothferry.CustomerID, p mfadmit.Priority, v int) *mfadmit.Waiter[int] {
@@ -247,9 +245,9 @@
 	assert.DeepEqual(t, order, []int{0, 10, 1, 2, 3, 11})
 }
 
-// TestAbandonedLeaseIsReleased: symptom, a runner's slots vanish for good.
-// Sequence: a request's deadline passes in the moment its ticket is granted.
-// Cause: nobody waits for the granted lease any more.
+// TestAbandonedLeaseIsReleased checks that a lease granted at the moment its request's
+// deadline passes is released. Nothing waits for such a lease any more, and its slot would be
+// lost for good.
 func TestAbandonedLeaseIsReleased(t *testing.T) {
 	k := newBalancerFixture(1, Limits{Queue: 10, MaxWaitFraction: 1, MaxEjectedFraction: 0.5})
 	s := &service{balancer: k.balancer}
--- a/mfroute/demand.go
+++ b/mfroute/demand.go
@@ -7,36 +7,35 @@
 	"mothferry"
 )
 
-// PeerUsage is what a daemon of the data centre tells the others of a service.
+// PeerUsage is what a daemon of the data centre reports to the others about a service.
 type PeerUsage struct {
 	Daemon mothferry.DaemonID
 	// Demand is the number of slots that its callers' requests would keep busy.
 	Demand float64
 	Queued int
-	// InFlight counts its requests by the runners' task ids in order.
+	// InFlight counts its requests per runner, in the order of the runners' task ids.
 	InFlight []int
 }
 
-// Demand: the span of its moving average, and the part of the mean weight that
-// each member has whatever its demand.
+// Demand: the decay time of its moving average, and the fraction of the mean weight that each
+// member has regardless of its demand.
 const (
 	demandDecayTime    = time.Second
 	baseWeightFraction = 0.1
 )
 
-// overloadFactor is how far demand must exceed the runners' slots to count as
-// overload. Below it the excess is within the noise of the average.
+// overloadFactor is how far demand must exceed the runners' slots to count as overload. A
+// smaller excess is within the noise of the average.
 const overloadFactor = 1.1
 
-// demandPublishStep is how far, relatively, the demand must have moved for the peers to
-// be told anew. Most heartbeats then repeat the old figure, and all members
-// divide the slots by the same weights; weights that differ a little at each
-// member make shares overlap on some runners and leave slots unused on others.
+// demandPublishStep is the relative change of demand from which a new value is published. Most
+// heartbeats then repeat the previous value, and all members compute shares from the same
+// weights. Weights that differ slightly between members make shares overlap on some runners
+// and leave slots unused on others.
 const demandPublishStep = 0.15
 
-// computeShares works out this daemon's share of each runner. A member's weight is
-// its demand and a part that it has whatever its demand, so that one whose
-// callers wake does not begin with nothing.
+// computeShares computes this daemon's share of each runner. A member's weight is its demand
+// plus a base weight, so that a member whose demand rises from zero already has slots.
 func (b *Balancer) computeShares() {
 	weights := map[mothferry.DaemonID]float64{}
 	total := 0.0
@@ -56,25 +55,24 @@
 	}
 }
 
-// updateDemand brings the demand's moving average up to now.
+// updateDemand updates the moving average of demand.
 func (b *Balancer) updateDemand(now time.Time) {
-	span := now.Sub(b.measuredAt)
-	if span <= 0 {
+	elapsed := now.Sub(b.measuredAt)
+	if elapsed <= 0 {
 		return
 	}
-	current := float64(b.arrivals) * b.meanServiceTime / float64(span)
-	part := 1 - math.Exp(-float64(span)/float64(demandDecayTime))
-	b.demand += part * (current - b.demand)
+	current := float64(b.arrivals) * b.meanServiceTime / float64(elapsed)
+	fraction := 1 - math.Exp(-float64(elapsed)/float64(demandDecayTime))
+	b.demand += fraction * (current - b.demand)
 	b.arrivals, b.measuredAt = 0, now
 }
 
-// UpdatePeers takes over what the other daemons of the data centre last said, and
-// works out how many of their idle slots this daemon may borrow.
+// UpdatePeers applies the latest reports of the other daemons of the data centre, and computes
+// how many of their idle slots this daemon may borrow.
 //
-// Idle slots are shared among the daemons that have requests waiting, in
-// proportion to how many wait: every daemon that has heard the same works out
-// the same parts, so that stale counts do not make all of them run for the
-// same slots at once.
+// Idle slots are divided among the daemons with waiting requests in proportion to how many
+// wait. Daemons that have the same reports compute the same parts, so that stale counts do not
+// make all of them take the same slots at once.
 func (b *Balancer) UpdatePeers(peers []PeerUsage) {
 	now := b.Clock.Now()
 	b.updateDemand(now)
@@ -112,24 +110,24 @@
 	b.grant()
 }
 
-// idleDemandSlots is the number of slots below which a service counts as idle at a
-// daemon. Its base weight is many times that.
+// idleDemandSlots is the number of slots below which a service counts as idle at a daemon. The
+// base weight is many times that.
 const idleDemandSlots = 0.01
 
-// Usage returns what this daemon tells its peers of the service, and whether the
-// service is idle here, so that they need not be told.
-func (b *Balancer) Usage() (use PeerUsage, idle bool) {
+// Usage returns what this daemon reports to its peers about the service, and whether the
+// service is idle here and need not be reported.
+func (b *Balancer) Usage() (usage PeerUsage, idle bool) {
 	if math.Abs(b.demand-b.publishedDemand) > demandPublishStep*b.publishedDemand {
 		b.publishedDemand = b.demand
 	}
 	if b.publishedDemand < idleDemandSlots {
 		b.publishedDemand = 0
 	}
-	use.Daemon, use.Demand, use.Queued = b.Self, b.publishedDemand, b.queue.Len()
-	idle = b.publishedDemand == 0 && use.Queued == 0
+	usage.Daemon, usage.Demand, usage.Queued = b.Self, b.publishedDemand, b.queue.Len()
+	idle = b.publishedDemand == 0 && usage.Queued == 0
 	for _, r := range b.runners {
-		use.InFlight = append(use.InFlight, r.inFlight)
+		usage.InFlight = append(usage.InFlight, r.inFlight)
 		idle = idle && r.inFlight == 0
 	}
-	return use, idle
+	return usage, idle
 }
--- a/mfroute/model_test.go
+++ b/mfroute/model_test.go
@@ -16,9 +16,9 @@
 	"mothferry"
 )
 
-// The model: entry hosts that do not see each other's requests share runners
-// of 8 slots. Service times are log-normal with a mean of 50 ms; a refusal
-// costs a round trip. Time is simulated, so a run is exact and repeatable.
+// The model: entry hosts that do not see each other's requests share runners of 8 slots.
+// Service times are log-normal with a mean of 50 ms; a refusal costs a round trip. Time is
+// simulated, so runs are deterministic.
 const (
 	modelHosts     = 3
 	modelSlots     = 8
@@ -29,12 +29,12 @@
 	modelGossip    = 250 * time.Millisecond
 	modelDuration  = 30 * time.Second
 	modelWarmup    = 4 * time.Second
-	// modelRetryDelay is how long the policies without shares wait before they send
-	// a refused request to another runner.
+	// modelRetryDelay is how long the policies without shares wait before they send a refused
+	// request to another runner.
 	modelRetryDelay = 5 * time.Millisecond
 )
 
-// event is something that happens at a time of the model.
+// event is an action at a simulated time.
 type event struct {
 	at     time.Duration
 	seq    int
@@ -60,7 +60,7 @@
 	return last
 }
 
-// model is one run. It is also the clock of the balancers under test.
+// model is one simulation run. It is also the clock of the balancers under test.
 type model struct {
 	scenario    scenario
 	now         time.Duration
@@ -74,22 +74,22 @@
 	perCustomer map[mothferry.CustomerID][2]int
 }
 
-// scenario is what a run is exposed to.
+// scenario is the load and the faults of a run.
 type scenario struct {
 	load    float64
 	runners int
-	// split is each entry host's part of the arrivals.
+	// split is the fraction of the arrivals at each entry host.
 	split [modelHosts]float64
-	// rotateEvery moves the parts on to the next entry host every so often.
+	// rotateEvery is the interval at which the fractions move on to the next entry host.
 	rotateEvery time.Duration
-	// slow, dead and liar are the numbers of runners that take ten times as
-	// long, refuse connections, or refuse every request as busy.
+	// slow, dead and alwaysBusy are the numbers of runners that take ten times as long, refuse
+	// connections, or refuse every request as busy.
 	slow, dead, alwaysBusy int
-	// noisy sends this many times the requests of each of the nine others.
+	// noisy is the request rate of the noisy customer relative to each of the nine others.
 	noisy float64
 }
 
-// modelResult is what a run showed.
+// modelResult holds the measurements of a run.
 type modelResult struct {
 	goodput       float64
 	p50           time.Duration
@@ -99,10 +99,10 @@
 	quietAnswered float64
 }
 
-// dispatcher is one entry host's policy.
+// dispatcher is the routing policy of one entry host.
 type dispatcher interface {
 	arrive(r *modelRequest)
-	// finished tells that a request's attempt at a runner ended.
+	// finished reports the end of a request's attempt at a runner.
 	finished(r *modelRequest, runner int, result Result)
 	gossip()
 }
@@ -113,7 +113,7 @@
 	customer mothferry.CustomerID
 	host     dispatcher
 	lease    *Lease
-	tries    int
+	attempts    int
 }
 
 // Now implements mothferry.Clock.
@@ -127,7 +127,7 @@
 	heap.Push(&m.queue, event{at: m.now + d, seq: m.seq, action: act})
 }
 
-// simulate plays a scenario with a policy for each entry host.
+// simulate runs a scenario with one policy instance for each entry host.
 func simulate(s scenario, policy func(m *model, self int) dispatcher) modelResult {
 	m := &model{scenario: s, random: rand.New(rand.NewPCG(7, 11)), inService: make([]int, s.runners), perCustomer: map[mothferry.CustomerID][2]int{}}
 	for i := range modelHosts {
@@ -147,9 +147,9 @@
 func (m *model) scheduleArrival(rate float64) {
 	m.schedule(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		m.scheduleArrival(rate)
-		host, part := 0, m.random.Float64()
-		for host < modelHosts-1 && part > m.scenario.split[host] {
-			part -= m.scenario.split[host]
+		host, fraction := 0, m.random.Float64()
+		for host < modelHosts-1 && fraction > m.scenario.split[host] {
+			fraction -= m.scenario.split[host]
 			host++
 		}
 		if m.scenario.rotateEvery > 0 {
@@ -169,11 +169,11 @@
 	return "noisy"
 }
 
-// countRequest adds to a customer's requests (0) or answers in time (1).
-func (m *model) countRequest(r *modelRequest, what int) {
+// countRequest adds to a customer's requests (0) or to its answers before the deadline (1).
+func (m *model) countRequest(r *modelRequest, index int) {
 	if m.now > modelWarmup {
 		counts := m.perCustomer[r.customer]
-		counts[what]++
+		counts[index]++
 		m.perCustomer[r.customer] = counts
 	}
 }
@@ -187,13 +187,13 @@
 	})
 }
 
-// dispatch sends a request to a runner; the host hears of its end.
+// dispatch sends a request to a runner; the entry host is notified of its end.
 func (m *model) dispatch(r *modelRequest, runner int) {
 	s := m.scenario
-	first := runner < s.dead
+	dead := runner < s.dead
 	m.schedule(modelRoundTrip/2, func() {
 		switch {
-		case first:
+		case dead:
 			m.schedule(modelRoundTrip/2, func() { r.host.finished(r, runner, ResultConnectFailed) })
 		case m.inService[runner] >= modelSlots || runner < s.dead+s.alwaysBusy:
 			m.refuse(r, runner)
@@ -213,16 +213,16 @@
 func (m *model) serve(r *modelRequest, runner int) {
 	m.inService[runner]++
 	mean := math.Log(modelMean.Seconds()) - modelSigma*modelSigma/2
-	service := time.Duration(math.Exp(mean+modelSigma*m.random.NormFloat64()) * float64(time.Second))
+	serviceTime := time.Duration(math.Exp(mean+modelSigma*m.random.NormFloat64()) * float64(time.Second))
 	if runner < m.scenario.dead+m.scenario.alwaysBusy+m.scenario.slow {
-		service *= 10
+		serviceTime *= 10
 	}
-	m.schedule(service, func() {
+	m.schedule(serviceTime, func() {
 		m.inService[runner]--
 		m.schedule(modelRoundTrip/2, func() {
-			if took := m.now - r.arrived; m.now > modelWarmup && took <= modelDeadline {
+			if latency := m.now - r.arrived; m.now > modelWarmup && latency <= modelDeadline {
 				m.result.goodput++
-				m.latencies = append(m.latencies, took)
+				m.latencies = append(m.latencies, latency)
 				m.countRequest(r, 1)
 			}
 			r.host.finished(r, runner, ResultAnswered)
@@ -232,15 +232,15 @@
 
 func (m *model) summary(capacity float64) modelResult {
 	r := m.result
-	all, others := 0, [2]int{}
+	total, quiet := 0, [2]int{}
 	for c, counts := range m.perCustomer {
-		all += counts[0]
+		total += counts[0]
 		if c != "noisy" {
-			others[0], others[1] = others[0]+counts[0], others[1]+counts[1]
+			quiet[0], quiet[1] = quiet[0]+counts[0], quiet[1]+counts[1]
 		}
 	}
-	r.refused /= float64(all)
-	r.quietAnswered = float64(others[1]) / float64(others[0])
+	r.refused /= float64(total)
+	r.quietAnswered = float64(quiet[1]) / float64(quiet[0])
 	r.goodput /= capacity * min(m.scenario.load, 1) * (modelDuration - modelWarmup).Seconds()
 	sort.Slice(m.latencies, func(i, j int) bool { return m.latencies[i] < m.latencies[j] })
 	if n := len(m.latencies); n > 0 {
@@ -311,27 +311,27 @@
 	}
 }
 
-// TestModelMeetsObjectives keeps the chosen policy to the aims that it was chosen for.
+// TestModelMeetsObjectives checks the balancer against the objectives it was chosen for.
 func TestModelMeetsObjectives(t *testing.T) {
-	own := func() func(*model, int) dispatcher { return newBalancerPolicy(modelLimits(true)) }
+	newPolicy := func() func(*model, int) dispatcher { return newBalancerPolicy(modelLimits(true)) }
 	high := scenario{load: 0.95, runners: 10, split: evenSplit}
 	over := scenario{load: 1.3, runners: 10, split: evenSplit}
 	skewed, noisy := high, over
 	skewed.split, noisy.noisy = unevenSplit, 10
-	var limit, atHigh, atSkewed, atOver, atNoisy, dead, liar modelResult
+	var limit, atHigh, atSkewed, atOver, atNoisy, dead, alwaysBusy modelResult
 	var group sync.WaitGroup
 	group.Go(func() { limit = simulate(high, centralPolicy()) })
-	group.Go(func() { atHigh = simulate(high, own()) })
-	group.Go(func() { atSkewed = simulate(skewed, own()) })
-	group.Go(func() { atOver = simulate(over, own()) })
-	group.Go(func() { atNoisy = simulate(noisy, own()) })
-	group.Go(func() { dead = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, dead: 1}, own()) })
-	group.Go(func() { liar = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, alwaysBusy: 1}, own()) })
+	group.Go(func() { atHigh = simulate(high, newPolicy()) })
+	group.Go(func() { atSkewed = simulate(skewed, newPolicy()) })
+	group.Go(func() { atOver = simulate(over, newPolicy()) })
+	group.Go(func() { atNoisy = simulate(noisy, newPolicy()) })
+	group.Go(func() { dead = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, dead: 1}, newPolicy()) })
+	group.Go(func() { alwaysBusy = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, alwaysBusy: 1}, newPolicy()) })
 	group.Wait()
 	assert.Assert(t, atOver.goodput >= 0.97 && atOver.p99 <= modelDeadline/2, "130%%: %+v", atOver)
 	assert.Assert(t, atHigh.p99 <= limit.p99*5/4 && atHigh.refused < 0.1, "95%%: %+v, limit %s", atHigh, limit.p99)
 	assert.Assert(t, atSkewed.p99 <= limit.p99*5/4 && atSkewed.refused < 0.1, "60/30/10: %+v, limit %s", atSkewed, limit.p99)
 	assert.Assert(t, atNoisy.quietAnswered >= 0.95, "quiet customers: %+v", atNoisy)
 	assert.Assert(t, dead.goodput >= 0.98 && dead.p99 <= modelDeadline/2, "one dead: %+v", dead)
-	assert.Assert(t, liar.goodput >= 0.98 && liar.p99 <= modelDeadline/2, "one refuses all: %+v", liar)
+	assert.Assert(t, alwaysBusy.goodput >= 0.98 && alwaysBusy.p99 <= modelDeadline/2, "one refuses all: %+v", alwaysBusy)
 }
--- a/mfroute/policy_test.go
+++ b/mfroute/policy_test.go
@@ -10,7 +10,7 @@
 	"mothferry/mfplacement"
 )
 
-// balancerPolicy is the product's own balancer as a policy.
+// balancerPolicy uses the Balancer as a policy.
 type balancerPolicy struct {
 	model     *model
 	self      int
@@ -41,7 +41,7 @@
 func (c *balancerPolicy) arrive(r *modelRequest) { c.submit(r, false) }
 
 func (c *balancerPolicy) submit(r *modelRequest, retry bool) {
-	t := &Ticket{Customer: r.customer, Priority: mfadmit.PriorityUrgent, Deadline: c.model.Now().Add(modelDeadline - (c.model.now - r.arrived)), Reattempt: r.tries > 0, Retry: retry}
+	t := &Ticket{Customer: r.customer, Priority: mfadmit.PriorityUrgent, Deadline: c.model.Now().Add(modelDeadline - (c.model.now - r.arrived)), Reattempt: r.attempts > 0, Retry: retry}
 	t.Decide = func(l *Lease, err error) {
 		if err == nil {
 			r.lease = l
@@ -57,25 +57,25 @@
 	if result == ResultBusy {
 		c.model.schedule(busyBackoff, c.balancer.Wake)
 	}
-	r.tries++
-	if result != ResultAnswered && r.tries < 4 && c.model.now-r.arrived < modelDeadline {
+	r.attempts++
+	if result != ResultAnswered && r.attempts < 4 && c.model.now-r.arrived < modelDeadline {
 		c.submit(r, result != ResultBusy)
 	}
 }
 
 func (c *balancerPolicy) gossip() {
-	var uses []PeerUsage
+	var usages []PeerUsage
 	c.published, _ = c.balancer.Usage()
 	for _, h := range c.model.hosts {
 		if other, ok := h.(*balancerPolicy); ok && other != c {
-			uses = append(uses, other.published)
+			usages = append(usages, other.published)
 		}
 	}
-	c.balancer.UpdatePeers(uses)
+	c.balancer.UpdatePeers(usages)
 }
 
-// simple is a policy without shares: pick says which runner is next, and a
-// queue of at most limit requests waits where a limit on own use is set.
+// simple is a policy without shares: pick chooses the next runner. If inFlightLimit is set,
+// requests beyond it wait in a queue of at most queueLimit.
 type simple struct {
 	model         *model
 	inFlight      []int
@@ -168,8 +168,8 @@
 	return b
 }
 
-// central is the limit: one exact queue over all entry hosts, without
-// customers, bounded as the chosen policy's is.
+// central is the theoretical limit: one exact queue over all entry hosts, without customers,
+// and bounded like the balancer's queue.
 type central struct {
 	model   *model
 	shared  *centralQueue
--- a/mfroute/router.go
+++ b/mfroute/router.go
@@ -12,17 +12,17 @@
 	"mothferry/mfsnapshot"
 )
 
-// maxMissedHeartbeats is how many heartbeats in a row a daemon may miss before
-// the others take over its shares.
+// maxMissedHeartbeats is how many consecutive heartbeats a daemon may miss before the others
+// divide its shares among themselves.
 const maxMissedHeartbeats = 4
 
-// Peers is what the router needs of the mesh.
+// Peers is the part of the peer mesh that the router uses.
 type Peers interface {
 	States() []mfpeer.State
 	Live(bound time.Duration) []mfpeer.State
 }
 
-// Router routes the requests of every service at one daemon.
+// Router routes the requests of all services at one daemon.
 type Router struct {
 	Self       mothferry.DaemonID
 	DataCentre mothferry.DataCentre
@@ -31,9 +31,9 @@
 	Limits     Limits
 	Store      *mfsnapshot.Store
 	Peers      Peers
-	// EntryHosts are all daemons of this data centre, this one included.
+	// EntryHosts are all daemons of this data centre, including this one.
 	EntryHosts []mothferry.DaemonID
-	// Heartbeat is the interval at which peers are heard.
+	// Heartbeat is the interval of the peers' reports.
 	Heartbeat time.Duration
 
 	mutex    sync.RWMutex
@@ -41,14 +41,14 @@
 	started  time.Time
 }
 
-// Prepare readies the router for use before Run.
+// Prepare initialises the router before Run.
 func (r *Router) Prepare() {
 	r.services = map[mothferry.ServiceID]*service{}
 	r.started = r.Clock.Now()
 	r.refresh(r.members())
 }
 
-// Run follows the snapshot and the peers until ctx ends.
+// Run applies changes of the snapshot and reports of the peers until ctx ends.
 func (r *Router) Run(ctx context.Context) error {
 	var snapshot *mfsnapshot.Snapshot
 	var members []mothferry.DaemonID
@@ -70,8 +70,8 @@
 	}
 }
 
-// Acquire waits for the right to send a request of a service to a runner. Its
-// error is an ErrNotRun.
+// Acquire waits until a request of a service may be sent to a runner. Its error is an
+// ErrNotRun.
 func (r *Router) Acquire(ctx context.Context, id mothferry.ServiceID, q Request) (*Lease, error) {
 	s, ok := r.service(id)
 	if !ok {
@@ -80,30 +80,31 @@
 	return s.acquire(ctx, q)
 }
 
-// Release ends a lease of a service and takes its result into the runner's health.
+// Release ends a lease of a service and records its result for the runner's health.
 func (r *Router) Release(id mothferry.ServiceID, l *Lease, result Result) {
 	if s, ok := r.service(id); ok {
 		s.release(l, result)
 	}
 }
 
-// Statuses returns what this daemon tells its peers of each service that is not idle here.
+// Statuses returns what this daemon reports to its peers about each service that is not idle
+// here.
 func (r *Router) Statuses() map[mothferry.ServiceID]mfpeer.ServiceStatus {
 	out := map[mothferry.ServiceID]mfpeer.ServiceStatus{}
 	for id, s := range r.allServices() {
 		s.mutex.Lock()
-		use, idle := s.balancer.Usage()
+		usage, idle := s.balancer.Usage()
 		s.mutex.Unlock()
 		if idle {
 			continue
 		}
-		out[id] = mfpeer.ServiceStatus{Queued: use.Queued, Demand: use.Demand, InFlight: use.InFlight}
+		out[id] = mfpeer.ServiceStatus{Queued: usage.Queued, Demand: usage.Demand, InFlight: usage.InFlight}
 	}
 	return out
 }
 
-// InFlightLeaving counts this daemon's requests at runners of a placement
-// that are to get no new ones.
+// InFlightLeaving counts this daemon's requests in flight at runners of a placement that get
+// no new ones.
 func (r *Router) InFlightLeaving(p mfplacement.Record) int {
 	tasks := map[mothferry.TaskID]bool{}
 	for _, k := range p.Runners {
@@ -118,7 +119,7 @@
 	return count
 }
 
-// Stop refuses everything that waits and everything to come.
+// stop refuses all waiting requests.
 func (r *Router) stop() {
 	for _, s := range r.allServices() {
 		s.mutex.Lock()
@@ -127,9 +128,9 @@
 	}
 }
 
-// members returns the daemons that share this data centre's runners: all at
-// first, since a daemon that believed itself alone until it has heard the
-// others would overrun every runner; later those that are heard.
+// members returns the daemons that share this data centre's runners. Until the peers have had
+// time to report, it returns all of them, since a daemon that took itself for the only member
+// would overload every runner; afterwards, those whose heartbeats arrive.
 func (r *Router) members() []mothferry.DaemonID {
 	bound := maxMissedHeartbeats * r.Heartbeat
 	if r.Clock.Now().Sub(r.started) < bound {
@@ -145,7 +146,7 @@
 	return members
 }
 
-// refresh brings every balancer up to the snapshot in force.
+// refresh updates every balancer to the current snapshot.
 func (r *Router) refresh(members []mothferry.DaemonID) {
 	snapshot := r.Store.Current()
 	for id, record := range snapshot.Documents {
@@ -162,21 +163,21 @@
 	}
 }
 
-// updatePeers passes on to each balancer what the data centre's other daemons say.
+// updatePeers passes the reports of the data centre's other daemons to the balancers.
 func (r *Router) updatePeers() {
 	live := r.Peers.Live(maxMissedHeartbeats * r.Heartbeat)
 	for id, s := range r.allServices() {
-		var uses []PeerUsage
+		var usages []PeerUsage
 		for _, p := range live {
 			if p.Peer.DataCentre != r.DataCentre {
 				continue
 			}
 			if status, ok := p.Status.Services[id]; ok {
-				uses = append(uses, PeerUsage{Daemon: p.Peer.Daemon, Queued: status.Queued, Demand: status.Demand, InFlight: status.InFlight})
+				usages = append(usages, PeerUsage{Daemon: p.Peer.Daemon, Queued: status.Queued, Demand: status.Demand, InFlight: status.InFlight})
 			}
 		}
 		s.mutex.Lock()
-		s.balancer.UpdatePeers(uses)
+		s.balancer.UpdatePeers(usages)
 		s.mutex.Unlock()
 	}
 }
--- a/mfroute/runner.go
+++ b/mfroute/runner.go
@@ -7,60 +7,62 @@
 	"mothferry/mfplacement"
 )
 
-// Result is how a dispatch to a runner ended, as far as the runner's health goes.
+// Result is the outcome of an attempt as far as it concerns the runner's health.
 type Result int
 
-// Results of a dispatch.
+// Results of an attempt.
 const (
-	// ResultAnswered is a whole answer, whatever its status.
+	// ResultAnswered is a complete answer, whatever its status.
 	ResultAnswered Result = iota
-	// ResultBusy is the runner's refusal for want of a slot.
+	// ResultBusy means that the runner refused because it had no free slot.
 	ResultBusy
-	// ResultLeaving is the runner's refusal because it is stopping.
+	// ResultLeaving means that the runner refused because it is stopping.
 	ResultLeaving
 	// ResultConnectFailed means that no connection could be opened.
 	ResultConnectFailed
-	// ResultLost means that the connection failed after it was open.
+	// ResultLost means that the connection failed after it was opened.
 	ResultLost
-	// ResultNeutral says nothing about the runner: the caller left, its
-	// deadline passed, or this daemon's own network or TLS set-up failed.
+	// ResultNeutral is no evidence about the runner: the caller disconnected, its deadline
+	// passed, or this daemon's own network or TLS setup failed.
 	ResultNeutral
 )
 
-// Ejection's bounds of time. A runner that restarts is back in seconds, so
-// the first ejection is short; each further one in a row doubles it.
+// Limits of the ejection time. A runner that restarts is back in seconds, so the first
+// ejection is short; each further one in a row doubles it.
 const (
 	firstEjection = 250 * time.Millisecond
 	maxEjection   = 15 * time.Second
 )
 
-// ejectAfterLosses is how many lost connections in a row eject a runner. One alone
-// may be the fault of a single request; a failed connect ejects at once.
+// ejectAfterLosses is how many consecutive lost connections eject a runner. A single loss may
+// be caused by one request; a failed connect ejects immediately.
 const ejectAfterLosses = 3
 
-// busyBackoff is how long a runner that refused for want of a slot is not
-// chosen again.
+// busyBackoff is how long a runner that refused because it had no free slot is not chosen
+// again.
 const busyBackoff = 20 * time.Millisecond
 
-// runner is one runner as this daemon sees it.
+// runner is the state of one runner as seen by this daemon.
 type runner struct {
 	placement mfplacement.Runner
-	// inFlight counts this daemon's requests there, and share its own slots.
+	// inFlight counts this daemon's requests at the runner, share is this daemon's part of its
+	// slots.
 	inFlight int
 	share    int
-	// connections is this daemon's part of the runner's connections.
+	// connections is this daemon's part of the runner's connection limit.
 	connections int
-	// window bounds inFlight while the runner is new or back from ejection, so
-	// that a runner which fails again costs few requests. It starts at one and
-	// grows with each answer, and with the time since began, the first request
-	// sent: answers alone would hold back a service whose requests are slow.
+	// window bounds inFlight while the runner is new or back from ejection, so that a runner
+	// that fails again costs few requests. It starts at one and grows with each answer and
+	// with the time since firstSentAt, when the first request was sent: growth by answers
+	// alone would throttle a service whose requests are slow.
 	window      int
 	firstSentAt time.Time
-	// peersInFlight is what the other daemons last said they had in flight.
+	// peersInFlight is the number of requests in flight that the other daemons last reported.
 	peersInFlight int
-	// reportedLeaving is the runner's own word, which outruns the published placement.
+	// reportedLeaving is set by the runner's own refusal, which arrives before the published
+	// placement.
 	reportedLeaving bool
-	// consecutiveLosses counts lost connections, and ejections those in a row.
+	// consecutiveLosses and consecutiveEjections count without an answer in between.
 	consecutiveLosses    int
 	consecutiveEjections int
 	ejectedUntil         time.Time
@@ -72,11 +74,11 @@
 	return r.placement.State == mfplacement.StateServing && !r.reportedLeaving && !now.Before(r.ejectedUntil)
 }
 
-// windowGrowthInterval is the time in which the window of a runner grows by one without an answer.
+// windowGrowthInterval is the time in which a runner's window grows by one without an answer.
 const windowGrowthInterval = 25 * time.Millisecond
 
-// inFlightLimit returns how many requests this daemon may have in flight there,
-// whatever its share.
+// inFlightLimit returns how many requests this daemon may have in flight at the runner,
+// regardless of its share.
 func (r *runner) inFlightLimit(now time.Time) int {
 	window := r.window
 	if !r.firstSentAt.IsZero() {
@@ -85,17 +87,18 @@
 	return min(window, r.connections)
 }
 
-// freeInShare returns how many more requests fit into this daemon's own share.
+// freeInShare returns how many more requests fit into this daemon's share.
 func (r *runner) freeInShare(now time.Time) int {
 	return min(r.share, r.inFlightLimit(now)) - r.inFlight
 }
 
-// idleSlots estimates how many slots of the runner nobody uses.
+// idleSlots estimates how many slots of the runner no daemon uses.
 func (r *runner) idleSlots() int {
 	return int(r.placement.Slots) - r.inFlight - r.peersInFlight
 }
 
-// freeOwnSlots returns how many more requests this daemon may send there within its share.
+// freeOwnSlots returns how many more requests this daemon may send to the runner within its
+// share.
 func (r *runner) freeOwnSlots(now time.Time, exclude map[mothferry.TaskID]bool) int {
 	if !r.usable(now) || exclude[r.placement.Task] || now.Before(r.busyUntil) {
 		return 0
@@ -103,7 +106,7 @@
 	return r.freeInShare(now)
 }
 
-// borrowableSlots returns how many slots there seem to be used by nobody.
+// borrowableSlots returns how many slots of the runner appear to be unused by all daemons.
 func (r *runner) borrowableSlots(now time.Time, exclude map[mothferry.TaskID]bool) int {
 	if !r.usable(now) || exclude[r.placement.Task] || now.Before(r.busyUntil) || r.inFlight >= r.inFlightLimit(now) {
 		return 0
@@ -111,7 +114,7 @@
 	return r.idleSlots()
 }
 
-// recordResult takes the end of a dispatch into the runner's health.
+// recordResult updates the runner's health with the result of an attempt.
 func (r *runner) recordResult(result Result, now time.Time, random mothferry.Random) {
 	switch result {
 	case ResultAnswered:
@@ -132,15 +135,15 @@
 	}
 }
 
-// eject keeps requests away from the runner for a while, with jitter so that
-// the daemons do not all come back to it at the same moment.
+// eject excludes the runner for a while, with jitter so that the daemons do not all return to
+// it at the same time.
 func (r *runner) eject(now time.Time, random mothferry.Random) {
 	if now.Before(r.ejectedUntil) {
 		return
 	}
-	pause := min(firstEjection<<min(r.consecutiveEjections, 16), maxEjection)
-	pause += time.Duration(random.Float64() * float64(pause) / 2)
-	r.ejectedUntil = now.Add(pause)
+	duration := min(firstEjection<<min(r.consecutiveEjections, 16), maxEjection)
+	duration += time.Duration(random.Float64() * float64(duration) / 2)
+	r.ejectedUntil = now.Add(duration)
 	r.consecutiveEjections++
 	r.consecutiveLosses = 0
 	r.window, r.firstSentAt = 1, time.Time{}
--- a/mfroute/service.go
+++ b/mfroute/service.go
@@ -12,8 +12,8 @@
 	"mothferry/mfplacement"
 )
 
-// Request is what routing needs to know of a caller's request. Its deadline
-// is that of the context it is acquired with.
+// Request describes a caller's request for routing. Its deadline is that of the context passed
+// to Acquire.
 type Request struct {
 	Customer  mothferry.CustomerID
 	Priority  mfadmit.Priority
@@ -22,13 +22,13 @@
 	Retry     bool
 }
 
-// service shares one service's balancer between requests.
+// service makes one service's balancer safe for concurrent requests.
 type service struct {
 	mutex    sync.Mutex
 	balancer *Balancer
 }
 
-// decision is what a ticket came to.
+// decision is the result of a ticket.
 type decision struct {
 	lease *Lease
 	err   error
@@ -53,8 +53,8 @@
 	return nil, s.abandon(ctx, t, decided)
 }
 
-// abandon gives up a ticket. One that was granted in the same moment gives
-// its lease back, else the slot would be lost for good.
+// abandon cancels a ticket. If it was granted at the same moment, its lease is released;
+// otherwise the slot would be lost.
 func (s *service) abandon(ctx context.Context, t *Ticket, decided <-chan decision) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// wakeAfter grants again once the pause of a busy runner is over: without it
-// requests that wait for that runner alone would not notice.
+// wakeAfter grants slots again after the backoff of a busy runner: nothing else would trigger
+// it for requests that wait for that runner alone.
 func (s *service) wakeAfter(d time.Duration) {
 	<-s.balancer.Clock.After(d)
 	s.mutex.Lock()
--- a/mfroute/share.go
+++ b/mfroute/share.go
@@ -9,9 +9,9 @@
 	"mothferry"
 )
 
-// Rank orders names by rendezvous hashing for one key: every daemon that
-// knows the same names gets the same order without talking, and a name that
-// comes or goes moves only its own places.
+// Rank orders names by rendezvous hashing for one key: daemons that know the same names
+// compute the same order without communication, and adding or removing a name leaves the order
+// of the others unchanged.
 func Rank[T ~string](key string, names []T) []T {
 	weights := make(map[T]uint64, len(names))
 	for _, n := range names {
@@ -35,8 +35,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads FNV's weak high bits over the whole word (the finaliser of
-// SplitMix64); unmixed, names with a common prefix are ranked alike.
+// mix spreads FNV's weak high bits over all bits (the finaliser of SplitMix64). Without it,
+// names with a common prefix get similar ranks.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -45,11 +45,10 @@
 	return x ^ x>>31
 }
 
-// Shares divides every runner's slots among the members in proportion to their
-// weights, and returns the part of self. Each runner's shares add up to its
-// slots. What rounding leaves over on one runner is carried to the next, so
-// that a member whose part of one runner is less than a slot still gets its
-// part of the whole. Members that know the same weights work out the same
+// Shares divides every runner's slots among the members in proportion to their weights, and
+// returns the shares of self. Each runner's shares add up to its slots. The rounding remainder
+// of one runner is carried to the next, so that a member whose part of one runner is less than
+// a slot still gets its part of the total. Members that know the same weights compute the same
 // shares.
 func Shares(slots []mothferry.Slots, weights map[mothferry.DaemonID]float64, self mothferry.DaemonID) []int {
 	members := slices.Sorted(maps.Keys(weights))
@@ -58,36 +57,37 @@
 		total += weights[m]
 	}
 	own := make([]int, len(slots))
-	due := make([]float64, len(members))
+	deficit := make([]float64, len(members))
 	for i, n := range slots {
-		left := int(n)
-		given := make([]int, len(members))
+		remaining := int(n)
+		assigned := make([]int, len(members))
 		for j, m := range members {
-			due[j] += float64(n) * weights[m] / total
-			given[j] = min(max(int(due[j]), 0), left)
-			left -= given[j]
+			deficit[j] += float64(n) * weights[m] / total
+			assigned[j] = min(max(int(deficit[j]), 0), remaining)
+			remaining -= assigned[j]
 		}
-		for ; left > 0; left-- {
-			given[largestDeficit(due, given)]++
+		for ; remaining > 0; remaining-- {
+			assigned[largestDeficit(deficit, assigned)]++
 		}
 		for j, m := range members {
-			due[j] -= float64(given[j])
+			deficit[j] -= float64(assigned[j])
 			if m == self {
-				own[i] = given[j]
+				own[i] = assigned[j]
 			}
 		}
 	}
 	return own
 }
 
-// roundingTolerance is far above the error of the sums in Shares and far below a slot.
+// roundingTolerance is far above the rounding error of the sums in Shares and far below a
+// slot.
 const roundingTolerance = 1e-9
 
-// largestDeficit returns the member that is owed most, the first of several.
-func largestDeficit(due []float64, given []int) int {
+// largestDeficit returns the member with the largest deficit, the first among equals.
+func largestDeficit(deficit []float64, assigned []int) int {
 	best := 0
-	for j := range due {
-		if due[j]-float64(given[j]) > due[best]-float64(given[best])+roundingTolerance {
+	for j := range deficit {
+		if deficit[j]-float64(assigned[j]) > deficit[best]-float64(assigned[best])+roundingTolerance {
 			best = j
 		}
 	}
