--- a/mfadmit/queue.go
+++ b/mfadmit/queue.go
@@ -1,6 +1,6 @@
-// Package mfadmit decides which waiting request goes next: urgent before
-// batch, and between customers the one with the fewest requests in work. It
-// holds no clock and starts nothing, so that every decision can be replayed.
+// Package mfadmit decides which waiting request is served next: urgent before batch, and among
+// customers the one with the fewest requests in flight. It uses no clock and starts nothing,
+// so that its decisions are reproducible.
 package mfadmit
 
 import (
@@ -9,7 +9,7 @@
 	"mothferry"
 )
 
-// Priority orders requests of one service; the smaller goes first.
+// Priority is the priority of a request within its service; the smaller value goes first.
 type Priority int
 
 // Priorities of requests.
@@ -19,22 +19,21 @@
 	priorityCount
 )
 
-// Waiter is a request that may have to wait. T is what the queue's user
-// attaches to it.
+// Waiter is a request in the queue. T is the value that the queue's user attaches to it.
 type Waiter[T any] struct {
 	Customer mothferry.CustomerID
 	Priority Priority
-	// Front puts the waiter before the others of its customer and priority,
-	// as is right for one that has waited before.
+	// Front puts the waiter before the others of its customer and priority, for a request that
+	// has already waited.
 	Front bool
 	Value T
 }
 
-// customerQueue is the waiting and working requests of one customer.
+// customerQueue holds the waiting requests of one customer and counts those in flight.
 type customerQueue[T any] struct {
 	waiting  [priorityCount][]*Waiter[T]
 	inFlight int
-	// lastServed is the queue's turn count when the customer was last served.
+	// lastServed is the queue's serveCount when the customer was last served.
 	lastServed uint64
 }
 
@@ -48,7 +47,7 @@
 
 // Queue holds the waiting requests of one service at one daemon.
 type Queue[T any] struct {
-	// Limit bounds the requests that wait.
+	// Limit bounds the number of waiting requests.
 	Limit int
 
 	queues     map[mothferry.CustomerID]*customerQueue[T]
@@ -56,10 +55,10 @@
 	serveCount uint64
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Outstanding returns how many requests of a customer wait or are in work.
+// Outstanding returns how many requests of a customer are waiting or in flight.
 func (q *Queue[T]) Outstanding(customer mothferry.CustomerID) int {
 	l, ok := q.queues[customer]
 	if !ok {
@@ -68,13 +67,12 @@
 	return l.inFlight + l.length()
 }
 
-// Customers returns how many customers have requests waiting or in work.
+// Customers returns how many customers have requests waiting or in flight.
 func (q *Queue[T]) Customers() int { return len(q.queues) }
 
-// Push adds a waiter. In a full queue somebody has to go: the newest, least
-// urgent request of the customer with the longest line. If that is the new
-// waiter itself, Push returns it. Without this rule one customer's burst
-// would fill the queue and everybody else would be refused.
+// Push adds a waiter. A full queue evicts the newest, least urgent request of the customer
+// with the most waiting requests, so that one customer's burst does not fill the queue and
+// cause everyone else to be refused. If that is the new waiter itself, Push returns it.
 func (q *Queue[T]) Push(w *Waiter[T]) (evicted *Waiter[T]) {
 	l := q.queueFor(w.Customer)
 	if w.Front {
@@ -108,8 +106,8 @@
 	return nil
 }
 
-// Pop takes out the waiter that goes next among those that fit, and counts it
-// as in work. It returns nil if none fits.
+// Pop removes the next waiter among those that fit and counts it as in flight. It returns nil
+// if none fits.
 func (q *Queue[T]) Pop(fits func(*Waiter[T]) bool) *Waiter[T] {
 	for p := range priorityCount {
 		if w := q.next(p, fits); w != nil {
@@ -121,24 +119,24 @@
 	return nil
 }
 
-// next finds the waiter of one priority whose customer has the fewest
-// requests in work; of several such customers, the one served longest ago.
+// next returns the waiter of one priority whose customer has the fewest requests in flight;
+// among several such customers, the one served longest ago.
 func (q *Queue[T]) next(p Priority, fits func(*Waiter[T]) bool) *Waiter[T] {
 	var best *Waiter[T]
-	var bestLine *customerQueue[T]
+	var bestQueue *customerQueue[T]
 	for c, l := range q.queues {
-		if len(l.waiting[p]) == 0 || best != nil && !l.servedBefore(c, bestLine, best.Customer) {
+		if len(l.waiting[p]) == 0 || best != nil && !l.servedBefore(c, bestQueue, best.Customer) {
 			continue
 		}
 		if i := slices.IndexFunc(l.waiting[p], fits); i >= 0 {
-			best, bestLine = l.waiting[p][i], l
+			best, bestQueue = l.waiting[p][i], l
 		}
 	}
 	return best
 }
 
-// servedBefore reports whether l, the line of customer c, is served before o, that
-// of customer d. The names make the order total and so repeatable.
+// servedBefore reports whether l, the queue of customer c, is served before o, that of
+// customer d. Comparing the names last makes the order total and so reproducible.
 func (l *customerQueue[T]) servedBefore(c mothferry.CustomerID, o *customerQueue[T], d mothferry.CustomerID) bool {
 	if l.inFlight != o.inFlight {
 		return l.inFlight < o.inFlight
@@ -149,7 +147,7 @@
 	return c < d
 }
 
-// Remove takes a waiter out and reports whether it was waiting.
+// Remove removes a waiter and reports whether it was waiting.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
 	l, ok := q.queues[w.Customer]
 	if !ok {
@@ -165,7 +163,7 @@
 	return true
 }
 
-// Start counts a request of a customer as in work.
+// Start counts a request of a customer as in flight.
 func (q *Queue[T]) Start(customer mothferry.CustomerID) {
 	l := q.queueFor(customer)
 	l.inFlight++
@@ -173,14 +171,14 @@
 	l.lastServed = q.serveCount
 }
 
-// Finish ends what Start began.
+// Finish ends a request that Start counted.
 func (q *Queue[T]) Finish(customer mothferry.CustomerID) {
 	q.queues[customer].inFlight--
 	q.removeIfEmpty(customer)
 }
 
-// Ahead returns how many waiting requests would be served before a new one of
-// this customer and priority, if customers take turns.
+// Ahead returns how many waiting requests would be served before a new one of this customer
+// and priority if customers are served in turn.
 func (q *Queue[T]) Ahead(customer mothferry.CustomerID, p Priority) int {
 	own := 0
 	if l, ok := q.queues[customer]; ok {
@@ -204,7 +202,7 @@
 	return count
 }
 
-// RemoveIf takes out the waiters that match.
+// RemoveIf removes and returns the waiters that match.
 func (q *Queue[T]) RemoveIf(match func(*Waiter[T]) bool) []*Waiter[T] {
 	var matching []*Waiter[T]
 	for _, l := range q.queues {
@@ -234,7 +232,7 @@
 	return l
 }
 
-// removeIfEmpty drops the line of a customer that has nothing here, so that memory
+// removeIfEmpty deletes a customer's queue if nothing is waiting or in flight, so that memory
 // does not grow with every customer ever seen.
 func (q *Queue[T]) removeIfEmpty(customer mothferry.CustomerID) {
 	if l := q.queues[customer]; l.inFlight == 0 && l.length() == 0 {
--- a/mfentry/attempt.go
+++ b/mfentry/attempt.go
@@ -15,17 +15,17 @@
 	"mothferry/mfroute"
 )
 
-// upstream is where one attempt goes: a runner, or a peer's data centre.
+// upstream is the target of one attempt: a runner, or a peer in another data centre.
 type upstream struct {
 	transport http.RoundTripper
 	address   string
 	// runner is the runner that the request is meant for; empty for a peer.
 	runner mothferry.TaskID
-	// peer tells that the upstream is a daemon, whose word "not run" counts.
+	// peer is set if the upstream is a daemon, whose "not run" is trusted.
 	peer bool
 }
 
-// failure is an attempt that brought no answer.
+// failure is an attempt without an answer.
 type failure struct {
 	// notRun is set if the request provably did not run.
 	notRun bool
@@ -34,14 +34,14 @@
 	err    error
 }
 
-// attempt sends a request to one upstream and returns its answer's header, or
-// how it failed.
+// attempt sends a request to one upstream and returns the response once its header has
+// arrived, or the failure.
 func (h *Handler) attempt(ctx context.Context, q *request, u upstream) (*http.Response, *failure) {
-	var seen connectionTracker
-	outgoing := q.outgoing(seen.trace(ctx), u)
+	var tracker connectionTracker
+	outgoing := q.outgoing(tracker.trace(ctx), u)
 	response, err := u.transport.RoundTrip(outgoing)
 	if err != nil {
-		return nil, classifyError(ctx, &seen, err)
+		return nil, classifyError(ctx, &tracker, err)
 	}
 	if refusal := refusalOf(response, u); refusal != nil {
 		_ = response.Body.Close()
@@ -50,20 +50,17 @@
 	return response, nil
 }
 
-// provesNotRun is the one predicate that allows a request which may not be
-// repeated to be sent a second time, and allows the end "not run". Either
-// nothing of the request was sent, or the upstream itself said that it did
-// not run it. (The first half follows "fix(proxy): fail over dead account
-// proxy routes before upstream dispatch": only proven failures before
-// dispatch allow a replay.)
+// provesNotRun is the only predicate that permits a second attempt of a request that may not
+// be repeated, and the end "not run". Either nothing of the request was sent, or the upstream
+// itself reported that it did not run it.
 func provesNotRun(nothingSent bool, refusal *failure) bool {
 	return nothingSent || refusal != nil
 }
 
-// classifyError turns a transport's error into a failure.
-func classifyError(ctx context.Context, seen *connectionTracker, err error) *failure {
-	picked, fresh := seen.connections()
-	f := &failure{notRun: provesNotRun(seen.nothingSent(), nil), err: err, reason: mothferry.ReasonConnectionLost, result: mfroute.ResultLost}
+// classifyError returns the failure for a transport's error.
+func classifyError(ctx context.Context, tracker *connectionTracker, err error) *failure {
+	picked, fresh := tracker.connections()
+	f := &failure{notRun: provesNotRun(tracker.nothingSent(), nil), err: err, reason: mothferry.ReasonConnectionLost, result: mfroute.ResultLost}
 	switch {
 	case ctx.Err() != nil:
 		f.result = mfroute.ResultNeutral
@@ -81,24 +78,24 @@
 	case !picked:
 		f.result, f.reason = mfroute.ResultConnectFailed, mothferry.ReasonConnect
 	case f.notRun && !fresh:
-		// A kept-alive connection that the runner had closed: says nothing
-		// of the runner's health, as runners close idle connections.
+		// The runner had closed a kept-alive connection. This is no evidence about its health,
+		// as runners close idle connections.
 		f.result = mfroute.ResultNeutral
 	}
 	return f
 }
 
-// connections reports whether a connection was picked, and whether the last
-// one was opened for this request.
-func (e *connectionTracker) connections() (picked, fresh bool) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return len(e.uses) > 0, e.fresh
+// connections reports whether a connection was picked, and whether the last one was opened for
+// this request.
+func (t *connectionTracker) connections() (picked, fresh bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return len(t.uses) > 0, t.fresh
 }
 
-// isOwnNetwork reports errors of this host's own network or descriptors. They
-// say nothing of the runner: counted against it, one bad network card would
-// make a daemon eject every runner of its data centre.
+// isOwnNetwork reports errors of this host's own network or file descriptors. They are no
+// evidence about the runner: if they counted, one faulty network card would make a daemon
+// eject every runner of its data centre.
 func isOwnNetwork(err error) bool {
 	for _, own := range []error{
 		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRNOTAVAIL,
@@ -125,8 +122,8 @@
 	return errors.As(err, &body)
 }
 
-// refusalOf returns a failure if the upstream says that it did not run the
-// request. A 503 without that word is the application's own answer.
+// refusalOf returns a failure if the upstream reports that it did not run the request. A 503
+// without that header is the application's own answer.
 func refusalOf(r *http.Response, u upstream) *failure {
 	f := &failure{notRun: true, reason: mothferry.ReasonRefused, result: mfroute.ResultBusy}
 	refusal := mothferry.Refusal("")
@@ -137,7 +134,7 @@
 	case refusal == mothferry.RefusalLeaving:
 		f.result = mfroute.ResultLeaving
 	case refusal == mothferry.RefusalOtherRunner:
-		// The runner that was meant is gone, as if no connection could be made.
+		// The intended runner is gone, as if no connection could be opened.
 		f.result = mfroute.ResultConnectFailed
 	case refusal != "":
 	case u.peer && mothferry.End(r.Header.Get(mothferry.HeaderEnd)) == mothferry.EndNotRun:
@@ -150,12 +147,11 @@
 	return f
 }
 
-// outgoing builds the request as it is sent upstream. It closes each way in
-// which net/http's Transport would send it twice by itself on a reused
-// connection: GetBody stays nil, and the fields that Transport takes for a
-// licence to repeat are given under keys it does not look up (header names
-// are case-insensitive on the wire). A request without a body whose method
-// counts as safe, yet may not be repeated here, gets an opaque empty body.
+// outgoing returns the request as it is sent upstream. It prevents net/http's Transport from
+// resending it on its own when a reused connection fails: GetBody stays nil, and the header
+// fields that Transport takes as permission to repeat are set under keys that it does not look
+// up (header names are case-insensitive on the wire). A request without a body whose method
+// counts as safe, but which may not be repeated here, gets an opaque empty body.
 func (q *request) outgoing(ctx context.Context, u upstream) *http.Request {
 	header := q.header.Clone()
 	hideHeader(header, mothferry.HeaderKey)
@@ -165,8 +161,8 @@
 		header.Set(mothferry.HeaderTimeout, time.Until(deadline).String())
 	}
 	if u.runner != "" {
-		// A runner's address may be another runner's by now, of any service, whose
-		// answer would be taken for the caller's own: it has to refuse.
+		// The address may by now belong to another runner, of any service, whose answer would
+		// be taken for the intended runner's. A runner refuses requests meant for another one.
 		header.Set(mothferry.HeaderRunner, string(u.runner))
 	}
 	if header["User-Agent"] == nil {
@@ -194,7 +190,7 @@
 	return out.WithContext(ctx)
 }
 
-// callerBody marks read errors as the caller's.
+// callerBody marks read errors as caused by the caller's body.
 type callerBody struct{ *onceBody }
 
 // Read implements io.Reader.
@@ -208,7 +204,7 @@
 
 func newCallerBody(b *onceBody) callerBody { return callerBody{b} }
 
-// safeMethod reports the methods whose bodiless requests Transport repeats by itself.
+// safeMethod reports whether Transport repeats bodiless requests of a method on its own.
 func safeMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -217,7 +213,7 @@
 	return false
 }
 
-// hideHeader moves a field to a spelling that Transport does not recognise.
+// hideHeader renames a header field to a spelling that Transport does not recognise.
 func hideHeader(header http.Header, name string) {
 	values, ok := header[name]
 	if !ok {
--- a/mfentry/bench_test.go
+++ b/mfentry/bench_test.go
@@ -12,8 +12,8 @@
 	"mothferry/mfroute"
 )
 
-// BenchmarkHandler measures one request through the handler to an upstream
-// that costs next to nothing, without the caller's side of HTTP.
+// BenchmarkHandler measures one request through the handler to an upstream of negligible cost,
+// without the caller's side of HTTP.
 func BenchmarkHandler(b *testing.B) {
 	address := startScripted(b, func(c net.Conn) {
 		reader := bufio.NewReader(c)
--- a/mfentry/connection.go
+++ b/mfentry/connection.go
@@ -10,12 +10,11 @@
 	"time"
 )
 
-// connection counts what was written to an upstream, and can be sealed
-// against further writes. Both together prove that no byte of a request was
-// sent, and that none will be: the transport's write loop is another goroutine
-// and could otherwise send the request after its caller was told that it did
-// not run. net/http of go1.26 happens to close the connection before its
-// RoundTrip returns an error; the seal does not depend on that.
+// connection counts the bytes written to an upstream and can be sealed against further writes.
+// Together, the count and the seal prove that no byte of a request was or will be sent: the
+// transport's write loop is another goroutine, and could otherwise send the request after its
+// caller was told that it did not run. net/http of go1.26 happens to close the connection
+// before RoundTrip returns an error; the seal does not depend on that.
 type connection struct {
 	net.Conn
 	mutex   sync.Mutex
@@ -23,11 +22,11 @@
 	sealed  bool
 }
 
-// errSealed is what a write after the seal gets.
+// errSealed is returned by writes to a sealed connection.
 var errSealed = errors.New("connection is sealed")
 
-// Write implements net.Conn. Bytes count as written before they are handed
-// to the kernel, so that a write under way is never missed.
+// Write implements net.Conn. Bytes are counted before they are passed to the kernel, so that a
+// write in progress is never missed.
 func (c *connection) Write(p []byte) (int, error) {
 	c.mutex.Lock()
 	if c.sealed {
@@ -46,8 +45,7 @@
 	return c.written
 }
 
-// seal seals the connection if nothing was written since the mark and
-// reports whether that is so.
+// seal seals the connection if nothing was written since mark, and reports whether it did.
 func (c *connection) seal(mark int64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,13 +56,13 @@
 	return true
 }
 
-// connectionTracker collects, for one attempt, the connections the transport picked.
+// connectionTracker records the connections that the transport picks for one attempt.
 type connectionTracker struct {
 	mutex sync.Mutex
 	uses  []connectionUse
-	// fresh tells that the last connection was opened for this request.
+	// fresh is set if the last connection was opened for this request.
 	fresh bool
-	// decided refuses connections that the transport picks after the verdict.
+	// decided is set by nothingSent; connections picked later are sealed and closed.
 	decided bool
 }
 
@@ -73,40 +71,40 @@
 	written    int64
 }
 
-// trace returns ctx with the hooks that feed e.
-func (e *connectionTracker) trace(ctx context.Context) context.Context {
+// trace returns ctx with the hooks that report picked connections to t.
+func (t *connectionTracker) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { e.picked(info.Conn, !info.Reused) },
+		GotConn: func(info httptrace.GotConnInfo) { t.picked(info.Conn, !info.Reused) },
 	})
 }
 
-func (e *connectionTracker) picked(n net.Conn, fresh bool) {
+func (t *connectionTracker) picked(n net.Conn, fresh bool) {
 	c, ok := n.(*connection)
 	if !ok {
 		return
 	}
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if e.decided {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.decided {
 		c.seal(c.count())
 		_ = c.Close()
 		return
 	}
-	e.fresh = fresh
-	e.uses = append(e.uses, connectionUse{connection: c, written: c.count()})
+	t.fresh = fresh
+	t.uses = append(t.uses, connectionUse{connection: c, written: c.count()})
 }
 
-// nothingSent proves, if it returns true, that no byte of the request has
-// been or will be written: no connection was picked, or each that was is
-// sealed at the count it had when it was picked.
-func (e *connectionTracker) nothingSent() bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.decided = true
+// nothingSent reports whether it is proven that no byte of the request has been or will be
+// written: no connection was picked, or each one is sealed at the byte count it had when
+// picked.
+func (t *connectionTracker) nothingSent() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.decided = true
 	proven := true
-	for _, m := range e.uses {
-		if m.connection.seal(m.written) {
-			_ = m.connection.Close()
+	for _, u := range t.uses {
+		if u.connection.seal(u.written) {
+			_ = u.connection.Close()
 		} else {
 			proven = false
 		}
@@ -114,15 +112,15 @@
 	return proven
 }
 
-// idleTimeout is how long an unused connection to a runner is kept. Runners
-// of mostly idle customers should not hold connections for long.
+// idleTimeout is how long an idle connection to a runner is kept. Connections to runners of
+// mostly idle customers should not be held for long.
 const idleTimeout = 30 * time.Second
 
-// Transports makes the transports to runners, one for each limit of connections.
+// Transports holds the transports to runners, one for each connection limit.
 type Transports struct {
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout bounds the time to open a connection.
 	ConnectTimeout time.Duration
-	// MaxHeaderBytes bounds the header of an answer.
+	// MaxHeaderBytes bounds the header of a response.
 	MaxHeaderBytes int64
 
 	mutex      sync.Mutex
@@ -133,21 +131,21 @@
 func (t *Transports) get(limit int) *http.Transport {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if k, ok := t.transports[limit]; ok {
-		return k
+	if transport, ok := t.transports[limit]; ok {
+		return transport
 	}
 	if t.transports == nil {
 		t.transports = map[int]*http.Transport{}
 	}
 	dialer := &net.Dialer{Timeout: t.ConnectTimeout}
-	k := newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
+	transport := newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, network, address)
 	})
-	k.MaxConnsPerHost = limit
-	k.MaxIdleConnsPerHost = limit
-	k.MaxResponseHeaderBytes = t.MaxHeaderBytes
-	t.transports[limit] = k
-	return k
+	transport.MaxConnsPerHost = limit
+	transport.MaxIdleConnsPerHost = limit
+	transport.MaxResponseHeaderBytes = t.MaxHeaderBytes
+	t.transports[limit] = transport
+	return transport
 }
 
 // newTransport returns a transport whose connections count their writes.
--- a/mfentry/dispatch.go
+++ b/mfentry/dispatch.go
@@ -16,19 +16,18 @@
 	"mothferry/mfroute"
 )
 
-// maxAttempts bounds how often one request is sent, whatever the reasons.
+// maxAttempts bounds the attempts of one request, whatever the reasons.
 const maxAttempts = 4
 
-// confirmPollInterval is how often a request that waits for the placements to be
-// compared looks again.
+// confirmPollInterval is how often a request that waits for confirmed placements checks again.
 const confirmPollInterval = 5 * time.Millisecond
 
-// maxSpillAttempts bounds the peers that are asked to take over one request.
+// maxSpillAttempts bounds the peers that one request is forwarded to.
 const maxSpillAttempts = 2
 
-// attempts is what became of a request's tries so far.
+// attempts records the failed attempts of a request.
 type attempts struct {
-	// tried are the runners that are not to be tried again.
+	// tried holds the runners that must not be tried again.
 	tried map[mothferry.TaskID]bool
 	last  *failure
 	// mayHaveRun is the first failure after which the request may have run.
@@ -45,10 +44,10 @@
 	}
 }
 
-// finalFailure returns the failure that ends the request; nil if nothing was tried. A
-// try that may have run the request outweighs every later one: a request that
-// may be repeated, was cut off at one runner and refused by the next, is not
-// one that did not run.
+// finalFailure returns the failure that ends the request; nil if there was no attempt. A
+// failure after which the request may have run takes precedence over all later ones: a
+// repeatable request that was cut off at one runner and refused by the next may not be
+// reported as not run.
 func (a *attempts) finalFailure() *failure {
 	if a.mayHaveRun != nil {
 		return a.mayHaveRun
@@ -56,17 +55,17 @@
 	return a.last
 }
 
-// dispatch brings a request to an answer, or to an ErrNotRun or ErrOutcomeUnknown.
+// dispatch obtains an answer for a request, or returns an ErrNotRun or ErrOutcomeUnknown.
 func (h *Handler) dispatch(ctx context.Context, q *request) (*upstreamResponse, error) {
-	past := &attempts{tried: map[mothferry.TaskID]bool{}}
-	for try := 0; try < maxAttempts; {
+	previous := &attempts{tried: map[mothferry.TaskID]bool{}}
+	for attempt := 0; attempt < maxAttempts; {
 		h.waitConfirmed(ctx)
 		lease, err := h.Router.Acquire(ctx, q.service, mfroute.Request{
-			Customer: q.customer, Priority: q.priority, Exclude: past.tried,
-			Reattempt: try > 0, Retry: try > 0 && past.last.reason != mothferry.ReasonRefused,
+			Customer: q.customer, Priority: q.priority, Exclude: previous.tried,
+			Reattempt: attempt > 0, Retry: attempt > 0 && previous.last.reason != mothferry.ReasonRefused,
 		})
 		if err != nil {
-			return h.withoutRunner(ctx, q, past, err)
+			return h.withoutRunner(ctx, q, previous, err)
 		}
 		a, f := h.tryRunner(ctx, q, lease)
 		if f == nil {
@@ -76,17 +75,17 @@
 			// Nothing was sent.
 			continue
 		}
-		try++
-		past.add(lease.Task, f)
+		attempt++
+		previous.add(lease.Task, f)
 		if ctx.Err() != nil || !q.mayTryAgain(f) {
 			break
 		}
 	}
-	return nil, h.endError(past.finalFailure())
+	return nil, h.endError(previous.finalFailure())
 }
 
-// mayTryAgain reports whether a request may be sent once more: it provably
-// did not run, or may run more than once; and its body is still there.
+// mayTryAgain reports whether a request may be sent again: it provably did not run or is
+// repeatable, and its body is still available.
 func (q *request) mayTryAgain(f *failure) bool {
 	if !q.buffered() && q.stream.used {
 		return false
@@ -109,7 +108,7 @@
 	if f != nil {
 		h.Router.Release(q.service, lease, f.result)
 		h.Log.WithField("request", q.id).WithField("runner", lease.Task).WithField("reason", f.reason).
-			WithField("not_run", f.notRun).Debug("Attempt failed.")
+			WithField("not_run", f.notRun).Debug("attempt failed")
 		return nil, f
 	}
 	leaving := a.header.Get(mothferry.HeaderLeaving) != ""
@@ -123,11 +122,10 @@
 	return a, nil
 }
 
-// checkStale returns a failure if the request or the placements that it was given
-// a runner from are too old to send anything by. Both happen to a daemon that
-// was paused: its caller was told of the deadline or will be, and the runner
-// may have left meanwhile. The router takes newer placements in a moment after they
-// are in force.
+// checkStale returns a failure if the request, or the placements from which its runner was
+// chosen, are too old for anything to be sent. This happens to a daemon that was paused: its
+// caller was or will be told that the deadline passed, and the runner may have left in the
+// meantime. The router applies newer placements shortly after they take effect.
 func (h *Handler) checkStale(q *request, runner mothferry.TaskID) *failure {
 	now := h.Clock.Now()
 	switch {
@@ -139,53 +137,52 @@
 	return nil
 }
 
-// waitConfirmed waits until the placements in force have been compared with
-// others' lately enough.
+// waitConfirmed waits until the placements in force have been compared with other daemons'
+// within Notice.
 func (h *Handler) waitConfirmed(ctx context.Context) {
 	for h.Clock.Now().Sub(h.Confirmed()) > h.Notice && mfclock.Sleep(ctx, h.Clock, confirmPollInterval) {
 		continue
 	}
 }
 
-// serving reports whether a runner may get new requests by the placements in force.
+// serving reports whether a runner may get new requests according to the placements in force.
 func (h *Handler) serving(service mothferry.ServiceID, task mothferry.TaskID) bool {
 	return slices.ContainsFunc(h.Store.Current().Runners[service], func(r mfplacement.Runner) bool {
 		return r.Task == task && r.State == mfplacement.StateServing
 	})
 }
 
-// connectionLimit returns this daemon's part of a runner's connections. All entry
-// hosts count, also those that are down: a limit that followed the membership
-// would be overrun while one of them returns.
+// connectionLimit returns this daemon's part of a runner's connection limit. All entry hosts
+// count, including those that are down: a limit that followed the membership would be exceeded
+// while one of them returns.
 func (h *Handler) connectionLimit(lease *mfroute.Lease) int {
 	return max(int(lease.Connections)/max(h.EntryHostCount, 1), 1)
 }
 
-// withoutRunner ends a request for which no runner of this data centre was
-// had: another data centre may serve it. If nothing replaces an earlier
-// failure, that failure is what the caller is told.
-func (h *Handler) withoutRunner(ctx context.Context, q *request, past *attempts, err error) (*upstreamResponse, error) {
+// withoutRunner ends a request that got no runner in this data centre; another data centre may
+// serve it. If there was an earlier failure and nothing replaces it, it is what the caller
+// receives.
+func (h *Handler) withoutRunner(ctx context.Context, q *request, previous *attempts, err error) (*upstreamResponse, error) {
 	var refusal *mothferry.ErrNotRun
 	noRunner := errors.As(err, &refusal) && refusal.Reason == mothferry.ReasonNoRunner
-	if noRunner && q.hops == 0 && (past.last == nil || q.mayTryAgain(past.last)) {
+	if noRunner && q.hops == 0 && (previous.last == nil || q.mayTryAgain(previous.last)) {
 		a, f := h.spill(ctx, q)
 		if f == nil {
 			return a, nil
 		}
-		if !f.notRun && past.mayHaveRun == nil {
+		if !f.notRun && previous.mayHaveRun == nil {
 			return nil, h.endError(f)
 		}
 	}
-	if told := past.finalFailure(); told != nil {
-		return nil, h.endError(told)
+	if final := previous.finalFailure(); final != nil {
+		return nil, h.endError(final)
 	}
 	return nil, err
 }
 
-// spill passes a request to daemons of other data centres where the service
-// has a place, one data centre after the other. Which of them have runners
-// free is not told around: with most services idle and most data centres well,
-// asking costs less than telling.
+// spill forwards a request to daemons of other data centres that the service is placed in, one
+// data centre after the other. Daemons don't publish which data centres have free runners:
+// with most services idle and most data centres healthy, asking costs less than publishing.
 func (h *Handler) spill(ctx context.Context, q *request) (*upstreamResponse, *failure) {
 	last := &failure{notRun: true, reason: mothferry.ReasonNoRunner}
 	for i, p := range h.spillPeers(q.document.Place.DataCentres) {
@@ -230,8 +227,8 @@
 	}
 	var peers []mothferry.DaemonID
 	for _, c := range centres {
-		if near := live[c]; c != h.DataCentre && len(near) > 0 {
-			peers = append(peers, near[h.Random.IntN(len(near))])
+		if daemons := live[c]; c != h.DataCentre && len(daemons) > 0 {
+			peers = append(peers, daemons[h.Random.IntN(len(daemons))])
 		}
 	}
 	for i := len(peers) - 1; i > 0; i-- {
@@ -241,7 +238,7 @@
 	return peers
 }
 
-// endError turns the last failure of a request into the error that ends it.
+// endError returns the error that ends a request after its final failure.
 func (h *Handler) endError(f *failure) error {
 	if f.notRun {
 		return &mothferry.ErrNotRun{Reason: f.reason, RetryAfter: h.retryDelay(), Err: f.err}
@@ -249,13 +246,13 @@
 	return &mothferry.ErrOutcomeUnknown{Reason: f.reason, Err: f.err}
 }
 
-// retryDelay returns when to come back after a failure that is expected to be
-// short, spread so that callers do not return together.
+// retryDelay returns the delay to retry after a failure that is expected to be short, with
+// jitter so that callers do not retry together.
 func (h *Handler) retryDelay() time.Duration {
 	return time.Duration((0.5 + h.Random.Float64()) * float64(time.Second))
 }
 
-// Mesh is what the entry needs of the peers.
+// Mesh is the part of the peer mesh that the entry uses.
 type Mesh interface {
 	Live(bound time.Duration) []mfpeer.State
 	DialSpill(ctx context.Context, peer mothferry.DaemonID, hops int) (net.Conn, error)
@@ -289,7 +286,7 @@
 	}
 }
 
-// retrySeconds returns a duration as Retry-After writes it: whole seconds, rounded up.
+// retrySeconds formats a duration for Retry-After: whole seconds, rounded up.
 func retrySeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/mfentry/handler_test.go
+++ b/mfentry/handler_test.go
@@ -22,11 +22,10 @@
 	"mothferry/mfstandin"
 )
 
-// TestNoSilentReplay: symptom, an order runs twice though it was sent once.
-// Sequence: the runner takes the second request of a kept-alive connection,
-// runs it and closes the connection without an answer. Cause: net/http's
-// Transport takes requests without a body and a safe method, or with an
-// Idempotency-Key, for replayable and sends them again on a new connection.
+// TestNoSilentReplay checks that a request is sent only once if the runner closes a kept-alive
+// connection without an answer. net/http's Transport considers bodiless requests with a safe
+// method, and requests with an Idempotency-Key, replayable and would send them again on a new
+// connection.
 func TestNoSilentReplay(t *testing.T) {
 	for _, k := range []struct {
 		name, method, body string
@@ -65,10 +64,10 @@
 	}
 }
 
-// Symptom: a caller of one service got the answer of another service's runner.
-// Events: a runner dies, its address goes to a runner of another service, and the
-// daemon sends it a request before it has heard of either.
-// Cause: a request did not say which runner it is meant for.
+// TestReusedAddressIsRefused checks that a runner of another service at a reused address does
+// not run the request. The daemon may send a request there after the original runner died and
+// before it learns of either change; without the runner's id in the request, the caller would
+// get another service's answer.
 func TestReusedAddressIsRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -83,7 +82,7 @@
 	assert.DeepEqual(t, router.results, []mfroute.Result{mfroute.ResultConnectFailed})
 }
 
-// TestUpstreamFaults cuts the exchange at each of its phases.
+// TestUpstreamFaults breaks the exchange with the upstream at each phase.
 func TestUpstreamFaults(t *testing.T) {
 	closed := startScripted(t, func(c net.Conn) { _, _ = readRequest(bufio.NewReader(c)) })
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +142,7 @@
 			assert.Equal(t, mothferry.End(response.Header.Get(mothferry.HeaderEnd)), k.end)
 			assert.Equal(t, mothferry.Reason(response.Header.Get(mothferry.HeaderReason)), k.reason)
 			assert.Equal(t, router.results[0], k.result)
-			assert.Equal(t, router.acquired, 0, "slots were not given back")
+			assert.Equal(t, router.acquired, 0, "slots were not released")
 			if k.end == mothferry.EndNotRun {
 				assert.Assert(t, response.Header.Get("Retry-After") != "")
 			}
@@ -151,9 +150,9 @@
 	}
 }
 
-// TestKeyMismatchIsAlwaysRefused: symptom, a key that was used for other content
-// is ignored where the request may be repeated. Cause: taking every failed
-// claim of such a request for a table that is out.
+// TestKeyMismatchIsAlwaysRefused checks that reuse of a key for other content is refused even
+// if the request is repeatable. Such a request is sent without a claim if the table is
+// unavailable, and a mismatch must not be treated as that.
 func TestKeyMismatchIsAlwaysRefused(t *testing.T) {
 	good := startAnswering(t, func(mothferry.RequestID) {})
 	_, _, url := newEntry(t, good)
@@ -166,8 +165,8 @@
 	assert.Equal(t, response.Header.Get(mothferry.HeaderEnd), string(mothferry.EndNotRun))
 }
 
-// TestInvalidRequestsAreRefused gives each unservable request its clear end, before any
-// upstream sees it.
+// TestInvalidRequestsAreRefused checks that each invalid request ends with its own status and
+// reason before any upstream sees it.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	address := startScripted(t, func(c net.Conn) {
 		_, _ = readRequest(bufio.NewReader(c))
@@ -202,9 +201,9 @@
 	assert.Equal(t, h.InFlight(), int64(0))
 }
 
-// TestAnswerIsWholeOrAbsent cuts the raw bytes of an answer at any point, for
-// answers of any size and framing, among concurrent requests. A caller must
-// see its own whole answer, or no answer: never a part, never another's.
+// TestAnswerIsWholeOrAbsent truncates the raw bytes of answers of random size and framing at
+// random points, with concurrent requests. A caller must get its own complete answer or none:
+// never a part, never another request's.
 func TestAnswerIsWholeOrAbsent(t *testing.T) {
 	type plan struct {
 		size    int
@@ -293,37 +292,36 @@
 	return out.Bytes()
 }
 
-// TestSealStopsLateWrites: symptom, a caller is told "not run" and the request
-// runs all the same. Sequence: the transport picks a connection, the deadline
-// passes, the verdict is that nothing was written, and only then the
-// transport's write loop sends the request. Cause: the loop is another
-// goroutine, and nothing but the seal ties it to the verdict.
+// TestSealStopsLateWrites checks that nothing is written to a connection once a request was
+// classified as not sent. The transport's write loop is another goroutine: if the deadline
+// passes after it picked a connection, it could send the request after the caller was told
+// "not run".
 func TestSealStopsLateWrites(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	c := &connection{Conn: near}
 	_, err := c.Write([]byte("an earlier request"))
 	assert.NilError(t, err)
-	var seen connectionTracker
-	seen.picked(c, false)
-	assert.Assert(t, seen.nothingSent())
+	var tracker connectionTracker
+	tracker.picked(c, false)
+	assert.Assert(t, tracker.nothingSent())
 	_, err = c.Write([]byte("late"))
 	assert.ErrorIs(t, err, errSealed)
 
 	late := &connection{Conn: near}
-	seen.picked(late, false)
-	_, err = late.Write([]byte("picked after the verdict"))
+	tracker.picked(late, false)
+	_, err = late.Write([]byte("picked after the decision"))
 	assert.ErrorIs(t, err, errSealed)
 
-	var sent connectionTracker
+	var sentTracker connectionTracker
 	used := &connection{Conn: far}
-	sent.picked(used, false)
+	sentTracker.picked(used, false)
 	_, _ = used.Write([]byte("x"))
-	assert.Assert(t, !sent.nothingSent())
+	assert.Assert(t, !sentTracker.nothingSent())
 }
 
-// TestNotRunRequestsDidNotRun gives requests deadlines that pass at any moment around
-// connecting and sending, and compares "not run" with what the runner saw.
+// TestNotRunRequestsDidNotRun sends requests whose deadlines pass at various moments of
+// connecting and sending, and checks that none that ended as "not run" reached the runner.
 func TestNotRunRequestsDidNotRun(t *testing.T) {
 	var seen sync.Map
 	address := startAnswering(t, func(id mothferry.RequestID) { seen.Store(id, true) })
@@ -347,14 +345,14 @@
 	group.Wait()
 	notRun.Range(func(id, _ any) bool {
 		_, ran := seen.Load(id)
-		assert.Check(t, !ran, "%s ran in spite of not_run", id)
+		assert.Check(t, !ran, "%s ran although it ended as not_run", id)
 		return true
 	})
 	t.Logf("%d of 2400 requests ended as not run", count.Load())
 }
 
-// TestStreamedBodyIsSentOnce: a body too large to hold goes to one upstream
-// only, and is refused once it is over the limit.
+// TestStreamedBodyIsSentOnce checks that a request whose body is too large to buffer is sent
+// to one upstream only.
 func TestStreamedBodyIsSentOnce(t *testing.T) {
 	var bytesSeen atomic.Int64
 	good := startScripted(t, func(c net.Conn) {
--- a/mfentry/harness_test.go
+++ b/mfentry/harness_test.go
@@ -30,7 +30,7 @@
 	"mothferry/mfsnapshot"
 )
 
-// fakeRouter is a Router that hands out the runners of a test in turn.
+// fakeRouter is a Router that assigns the runners of a test in turn.
 type fakeRouter struct {
 	mutex     sync.Mutex
 	addresses []string
@@ -63,7 +63,7 @@
 	u.acquired--
 }
 
-// countingObserver is an Observer that remembers.
+// countingObserver is an Observer that counts ended requests.
 type countingObserver struct{ count atomic.Int64 }
 
 func (e *countingObserver) Ended(mothferry.ServiceID, mothferry.End, mothferry.Reason, time.Duration) {
@@ -77,8 +77,8 @@
 	return nil, errors.New("no peers here")
 }
 
-// newEntry serves a handler whose service "s" runs at the given addresses.
-// GET requests under /safe may be repeated.
+// newEntry serves a handler whose service "s" runs at the given addresses. GET requests under
+// /safe may be repeated.
 func newEntry(t testing.TB, addresses ...string) (*Handler, *fakeRouter, string) {
 	t.Helper()
 	store := mfsnapshot.NewStore()
@@ -114,7 +114,7 @@
 	return h, router, server.URL
 }
 
-// startScripted listens and hands each connection to script.
+// startScripted listens and runs script on each connection.
 func startScripted(t testing.TB, script func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -165,7 +165,7 @@
 	return response, data, err
 }
 
-// startAnswering listens and answers each request with an empty 200, after ran.
+// startAnswering listens, and for each request calls ran and answers with an empty 200.
 func startAnswering(t testing.TB, ran func(mothferry.RequestID)) string {
 	t.Helper()
 	return startScripted(t, func(c net.Conn) {
--- a/mfentry/request.go
+++ b/mfentry/request.go
@@ -16,7 +16,7 @@
 	"mothferry/mfpeer"
 )
 
-// request is one caller's request as the entry understood it.
+// request is a parsed request of a caller.
 type request struct {
 	id       mothferry.RequestID
 	service  mothferry.ServiceID
@@ -25,7 +25,7 @@
 	key      string
 	priority mfadmit.Priority
 	deadline time.Time
-	// repeatable tells that the document lets the request run more than once.
+	// repeatable is set if the document allows the request to run more than once.
 	repeatable bool
 	hops       int
 
@@ -33,8 +33,8 @@
 	host   string
 	target *url.URL
 	header http.Header
-	// body is the whole body if it was small enough to hold, else nil; then
-	// stream carries it and can be sent once only.
+	// body is the whole body if it fits into the buffer; otherwise stream carries it, which
+	// can be sent only once.
 	body   []byte
 	stream *onceBody
 	length int64
@@ -43,8 +43,8 @@
 // buffered reports whether the whole body is in memory.
 func (q *request) buffered() bool { return q.stream == nil }
 
-// hopByHop are the header fields that concern one connection only (RFC 9110,
-// section 7.6.1), and the daemon's own.
+// hopByHop lists the header fields that apply to one connection only (RFC 9110, section
+// 7.6.1), and the daemon's own.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", mothferry.HeaderTimeout, headerClass,
@@ -53,7 +53,7 @@
 // headerClass lets a caller send a request of an urgent service as batch work.
 const headerClass = "Mothferry-Class"
 
-// parse reads what a request says of itself. Its error is an ErrNotRun.
+// parse reads and validates a caller's request. Its error is an ErrNotRun.
 func (h *Handler) parse(r *http.Request) (*request, error) {
 	service, rest, err := splitTarget(r.URL)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// splitTarget parts "/service/rest" into the service and the runner's own path.
+// splitTarget splits "/service/rest" into the service and the path at the runner.
 func splitTarget(u *url.URL) (mothferry.ServiceID, *url.URL, error) {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
 	target := &url.URL{RawQuery: u.RawQuery, ForceQuery: u.ForceQuery}
@@ -143,7 +143,7 @@
 	return r.Header.Get("Upgrade") != "" || r.Method == http.MethodConnect
 }
 
-// forwarded returns the header fields that go on to the runner.
+// forwarded returns the header fields that are passed on.
 func forwarded(from http.Header) http.Header {
 	out := make(http.Header, len(from))
 	for name, values := range from {
@@ -160,8 +160,8 @@
 	return out
 }
 
-// readBody takes a body into memory if it fits into the buffer. A keyed
-// request's body must fit, since its digest is needed before it is sent.
+// readBody buffers a body if it fits. A keyed request's body must fit, since its digest is
+// needed before the request is sent.
 func (h *Handler) readBody(q *request, r *http.Request) error {
 	if r.Body == nil || r.Body == http.NoBody {
 		q.length = 0
@@ -170,19 +170,19 @@
 	if q.length > int64(h.MaxBodyBytes) {
 		return tooLarge("body is larger than limits.body_bytes")
 	}
-	held, err := io.ReadAll(io.LimitReader(r.Body, int64(h.BufferBytes)+1))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, int64(h.BufferBytes)+1))
 	if err != nil {
 		return &mothferry.ErrNotRun{Reason: mothferry.ReasonBodyUnreadable, Err: err}
 	}
-	if len(held) <= int(h.BufferBytes) {
-		q.body, q.length = held, int64(len(held))
+	if len(buffered) <= int(h.BufferBytes) {
+		q.body, q.length = buffered, int64(len(buffered))
 		return nil
 	}
 	if q.key != "" {
 		return tooLarge("body of a request with " + mothferry.HeaderKey + " is larger than limits.buffer_bytes")
 	}
-	rest := http.MaxBytesReader(nil, r.Body, int64(h.MaxBodyBytes)-int64(len(held)))
-	q.stream = &onceBody{reader: io.MultiReader(bytes.NewReader(held), rest)}
+	rest := http.MaxBytesReader(nil, r.Body, int64(h.MaxBodyBytes)-int64(len(buffered)))
+	q.stream = &onceBody{reader: io.MultiReader(bytes.NewReader(buffered), rest)}
 	return nil
 }
 
@@ -190,8 +190,8 @@
 	return &mothferry.ErrNotRun{Reason: mothferry.ReasonTooLarge, Err: errors.New(detail)}
 }
 
-// onceBody hides what it reads from, so that net/http cannot rewind it and
-// send a request a second time by itself.
+// onceBody hides the type of its reader, so that net/http cannot rewind it and send a request
+// a second time on its own.
 type onceBody struct {
 	reader io.Reader
 	used   bool
@@ -203,5 +203,5 @@
 	return b.reader.Read(p)
 }
 
-// Close implements io.Closer. The caller's body is closed by its server.
+// Close implements io.Closer. The server closes the caller's body.
 func (b *onceBody) Close() error { return nil }
--- a/mfentry/response.go
+++ b/mfentry/response.go
@@ -13,25 +13,25 @@
 	"mothferry/mfroute"
 )
 
-// upstreamResponse is an upstream's answer: whole in memory, or held up to the buffer's
-// size with the rest still to come.
+// upstreamResponse is an upstream's answer: complete in memory, or buffered up to the buffer's
+// size with the rest unread.
 type upstreamResponse struct {
 	status   int
 	header   http.Header
 	buffered []byte
 	rest     io.ReadCloser
 	trailer  http.Header
-	// release gives the runner's slot back with the result. It is called once.
+	// release frees the runner's slot with the result. It is called once.
 	release func(mfroute.Result)
 	peer    bool
 }
 
-// complete reports whether the answer's end has been seen.
+// complete reports whether the whole answer is in memory.
 func (a *upstreamResponse) complete() bool { return a.rest == nil }
 
-// receive reads an answer up to the buffer's size. Most answers fit: they are
-// known to be whole before their first byte goes to the caller, so that a cut
-// one can still become a clean end.
+// receive reads an answer up to the buffer's size. Most answers fit: they are known to be
+// complete before their first byte is sent to the caller, so that a truncated one can still
+// end with a proper error.
 func (h *Handler) receive(ctx context.Context, q *request, response *http.Response) (*upstreamResponse, *failure) {
 	if unframed(q.method, response) {
 		_ = response.Body.Close()
@@ -42,13 +42,13 @@
 	if response.ContentLength > limit {
 		limit = 0
 	}
-	held, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+	buffered, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
 		_ = response.Body.Close()
 		return nil, readFailure(ctx, err)
 	}
-	a.buffered = held
-	if int64(len(held)) > limit {
+	a.buffered = buffered
+	if int64(len(buffered)) > limit {
 		a.rest = response.Body
 		return a, nil
 	}
@@ -57,7 +57,7 @@
 	return a, nil
 }
 
-// readFailure turns a failure to read an answer's body into a failure.
+// readFailure returns the failure for an error while reading an answer's body.
 func readFailure(ctx context.Context, err error) *failure {
 	f := &failure{reason: mothferry.ReasonTruncated, result: mfroute.ResultLost, err: err}
 	if ctx.Err() != nil {
@@ -70,21 +70,20 @@
 	return f
 }
 
-// unframed reports an answer whose body ends where the connection ends. A cut
-// connection would pass a part of it off as the whole.
+// unframed reports whether the answer's body is delimited only by the end of the connection.
+// If such a connection broke, a part of the body would look like the whole.
 func unframed(method string, r *http.Response) bool {
 	bodiless := method == http.MethodHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
 	return !bodiless && r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// copyBuffers are the buffers that streamed answers pass through.
+// copyBuffers holds the buffers for streamed answers.
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 
-// send passes an answer on to the caller and settles it. An answer that turns
-// out cut after its first bytes were passed on ends the caller's connection:
-// the caller then sees a failed transfer, never a short answer as if it were
-// whole.
-func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, a *upstreamResponse, began time.Time) {
+// send passes an answer to the caller and releases it. If the answer turns out truncated after
+// its first bytes were sent, the caller's connection is aborted: the caller then sees a failed
+// transfer, never a short answer that looks complete.
+func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, a *upstreamResponse, start time.Time) {
 	header := w.Header()
 	for name, values := range forwarded(a.header) {
 		if name != mothferry.HeaderRefused && name != mothferry.HeaderLeaving {
@@ -99,14 +98,14 @@
 	if a.complete() {
 		a.release(mfroute.ResultAnswered)
 		h.sendBuffered(w, q, a)
-		h.Observer.Ended(q.service, mothferry.End(header.Get(mothferry.HeaderEnd)), mothferry.Reason(header.Get(mothferry.HeaderReason)), h.Clock.Now().Sub(began))
+		h.Observer.Ended(q.service, mothferry.End(header.Get(mothferry.HeaderEnd)), mothferry.Reason(header.Get(mothferry.HeaderReason)), h.Clock.Now().Sub(start))
 		return
 	}
 	w.WriteHeader(a.status)
 	err := h.stream(w, a)
 	if err == nil {
 		a.release(mfroute.ResultAnswered)
-		h.Observer.Ended(q.service, mothferry.EndAnswered, "", h.Clock.Now().Sub(began))
+		h.Observer.Ended(q.service, mothferry.EndAnswered, "", h.Clock.Now().Sub(start))
 		return
 	}
 	f := readFailure(ctx, err)
@@ -114,8 +113,8 @@
 		f.result, f.reason = mfroute.ResultNeutral, mothferry.ReasonCallerGone
 	}
 	a.release(f.result)
-	h.Observer.Ended(q.service, mothferry.EndUnknown, f.reason, h.Clock.Now().Sub(began))
-	h.Log.WithField("request", q.id).WithField("service", q.service).WithError(err).Warn("Answer was cut; caller's connection is closed.")
+	h.Observer.Ended(q.service, mothferry.EndUnknown, f.reason, h.Clock.Now().Sub(start))
+	h.Log.WithField("request", q.id).WithField("service", q.service).WithError(err).Warn("answer truncated, caller's connection aborted")
 	panic(http.ErrAbortHandler)
 }
 
@@ -132,7 +131,7 @@
 }
 
 // errCallerWrite marks a failure to write to the caller.
-var errCallerWrite = errors.New("caller does not take the answer")
+var errCallerWrite = errors.New("write answer to caller failed")
 
 func (h *Handler) stream(w http.ResponseWriter, a *upstreamResponse) error {
 	defer a.rest.Close()
--- a/mfentry/stale_test.go
+++ b/mfentry/stale_test.go
@@ -11,11 +11,12 @@
 	"mothferry/mfplacement"
 )
 
-// A runner that leaves must get no new request while the router still hands it out.
+// TestLeavingRunnerGetsNoRequest checks that a runner gets no new requests once newer
+// placements list it as leaving, even while the router still assigns it.
 func TestLeavingRunnerGetsNoRequest(t *testing.T) {
-	var left, stays atomic.Int64
-	leaving := startAnswering(t, func(mothferry.RequestID) { left.Add(1) })
-	serving := startAnswering(t, func(mothferry.RequestID) { stays.Add(1) })
+	var toLeaving, toServing atomic.Int64
+	leaving := startAnswering(t, func(mothferry.RequestID) { toLeaving.Add(1) })
+	serving := startAnswering(t, func(mothferry.RequestID) { toServing.Add(1) })
 	h, router, url := newEntry(t, leaving, serving)
 	h.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "general", Generation: 2, Runners: []mfplacement.Runner{
 		{Task: runnerID(0), Service: "s", State: mfplacement.StateLeaving},
@@ -26,7 +27,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, left.Load(), int64(0))
-	assert.Equal(t, stays.Load(), int64(10))
+	assert.Equal(t, toLeaving.Load(), int64(0))
+	assert.Equal(t, toServing.Load(), int64(10))
 	assert.Equal(t, router.acquired, 0)
 }
--- a/mfledger/ledger.go
+++ b/mfledger/ledger.go
@@ -13,26 +13,27 @@
 	"mothferry/mfclock"
 )
 
-// Bounds of the ledger's work.
+// Limits of transactions and retries.
 const (
 	// maxBatch bounds the operations of one transaction.
 	maxBatch = 64
 	// maxPending bounds the operations that wait for a transaction.
 	maxPending = 1024
-	// writerCount is how many transactions may be under way at the same time.
+	// writerCount is the number of transactions that may be in progress at the same time.
 	writerCount = 4
-	// maxEndAttempts bounds how often the recording of an end is tried.
+	// maxEndAttempts bounds the attempts to record the end of a request.
 	maxEndAttempts = 20
-	// minEndRetryDelay is the first pause between those tries.
+	// minEndRetryDelay is the delay before the second attempt; it doubles up to
+	// maxEndRetryDelay.
 	minEndRetryDelay = 100 * time.Millisecond
 	maxEndRetryDelay = 5 * time.Second
 )
 
-// ErrKeyClaimed reports that a key was claimed before, and what came of it.
+// ErrKeyClaimed reports that a key is already claimed, and the state of its request.
 type ErrKeyClaimed struct {
 	// Reason is still_running, outcome_unknown, answer_too_large or key_mismatch.
 	Reason mothferry.Reason
-	// RetryAfter is when a running request will have ended.
+	// RetryAfter is the time until a running request will have ended.
 	RetryAfter time.Duration
 }
 
@@ -48,7 +49,7 @@
 	version mothferry.Version
 }
 
-// Ledger claims keys and records ends, many to a transaction.
+// Ledger claims keys and records ends, batching operations into transactions.
 type Ledger struct {
 	Table mothferry.Table
 	Clock mothferry.Clock
@@ -56,28 +57,28 @@
 	Retention time.Duration
 	// MaxRecordBytes bounds the body of a recorded answer.
 	MaxRecordBytes mothferry.Bytes
-	// NewToken makes tokens that are never used twice.
+	// NewToken returns a token that is never used twice.
 	NewToken func() mothferry.Token
 	Log      *log.Entry
 
 	operations chan *operation
 }
 
-// operation is one row to write, waiting for a transaction.
+// operation is one row write that waits for a transaction.
 type operation struct {
 	check mothferry.Check
 	write mothferry.Write
 	done  chan outcome
 }
 
-// outcome is what became of an operation: the version written, or an error.
-// A conflict carries this operation's row alone.
+// outcome is the result of an operation: the version written, or an error. A conflict carries
+// only this operation's row.
 type outcome struct {
 	version mothferry.Version
 	err     error
 }
 
-// Prepare readies the ledger for use before Run.
+// Prepare initialises the ledger before Run.
 func (l *Ledger) Prepare() {
 	l.operations = make(chan *operation, maxPending)
 }
@@ -97,10 +98,10 @@
 	return ctx.Err()
 }
 
-// Claim claims a key for a request that will have ended at until. It returns
-// the recorded answer if the request was answered before, ErrTaken if it was
-// claimed and has no answer to give, and any other error if the claim did not
-// succeed: the request must then not be sent.
+// Claim claims a key for a request that will have ended at until. It returns the recorded
+// answer if the request was answered before, ErrKeyClaimed if the key is claimed and there is
+// no answer to return, and any other error if the claim failed: the request must then not be
+// sent.
 func (l *Ledger) Claim(ctx context.Context, key Key, digest Digest, until time.Time) (*Claim, *Answer, error) {
 	claim := &Claim{key: key, digest: digest, token: l.NewToken(), until: until}
 	data, err := record{State: stateRunning, Digest: digest, Token: claim.token, Until: until}.encode()
@@ -120,15 +121,15 @@
 		return l.resolveConflict(claim, conflict.Rows[0])
 	}
 	if !neverSent(err) {
-		// The claim may have been written without its reply arriving. The
-		// request is not sent, so the claim must not stay.
+		// The claim may have been written although its reply was lost. The request is not
+		// sent, so the claim must not remain.
 		go l.withdraw(context.WithoutCancel(ctx), claim)
 	}
 	return nil, nil, err
 }
 
-// resolveConflict reads the row that stands in a claim's way. It may be the claim
-// itself, written by a transaction whose reply was lost.
+// resolveConflict evaluates the row that a claim conflicts with. It may be the claim itself,
+// written by a transaction whose reply was lost.
 func (l *Ledger) resolveConflict(claim *Claim, row mothferry.Row) (*Claim, *Answer, error) {
 	r, err := decodeRecord(row.Value)
 	if err != nil {
@@ -152,8 +153,8 @@
 	}
 }
 
-// RecordAnswer records the answer of a claimed request. It returns at once; the
-// row is written in the background.
+// RecordAnswer records the answer of a claimed request. It returns immediately; the row is
+// written in the background.
 func (l *Ledger) RecordAnswer(ctx context.Context, c *Claim, a Answer) {
 	r := record{State: stateAnswered, Digest: c.digest, Token: c.token, Until: c.until, Answer: &a}
 	if mothferry.Bytes(len(a.Body)) > l.MaxRecordBytes {
@@ -162,12 +163,13 @@
 	l.recordEnd(ctx, c, r)
 }
 
-// RecordAnswerTooLarge records that an answer was given that is too large to keep.
+// RecordAnswerTooLarge records that the request was answered but the answer is too large to
+// keep.
 func (l *Ledger) RecordAnswerTooLarge(ctx context.Context, c *Claim) {
 	l.recordEnd(ctx, c, record{State: stateTooLarge, Digest: c.digest, Token: c.token, Until: c.until})
 }
 
-// RecordUnknown records that nobody knows whether a claimed request ran.
+// RecordUnknown records that it is unknown whether a claimed request ran.
 func (l *Ledger) RecordUnknown(ctx context.Context, c *Claim) {
 	l.recordEnd(ctx, c, record{State: stateUnknown, Digest: c.digest, Token: c.token, Until: c.until})
 }
@@ -175,16 +177,16 @@
 func (l *Ledger) recordEnd(ctx context.Context, c *Claim, r record) {
 	data, err := r.encode()
 	if err != nil {
-		l.Log.WithError(err).Error("End could not be encoded.")
+		l.Log.WithError(err).Error("encoding the end of a keyed request failed")
 		return
 	}
 	write := mothferry.Write{Key: c.key.row(), Value: data, Expires: l.Clock.Now().Add(l.Retention)}
 	go l.persist(context.WithoutCancel(ctx), c, write)
 }
 
-// ReleaseClaim gives a claim back, so that the caller may send the request again
-// under the same key. It waits until that is done or ctx ends, and goes on
-// trying in the background after that.
+// ReleaseClaim deletes a claim, so that the caller may send the request again under the same
+// key. It waits until the claim is deleted or ctx ends; after that, attempts continue in the
+// background.
 func (l *Ledger) ReleaseClaim(ctx context.Context, c *Claim) {
 	done := make(chan struct{})
 	go func() {
@@ -197,40 +199,40 @@
 	}
 }
 
-// persist writes a claim's end, trying again while the table does not reply.
-// The check of the claim's own version makes the write idempotent: one that
-// took effect unseen, or arrives late, cannot touch a later claim of the key.
+// persist writes the end of a claim, with retries while the table does not reply. The check of
+// the claim's own version makes the write idempotent: a write whose reply was lost, or that
+// arrives late, cannot affect a later claim of the key.
 func (l *Ledger) persist(ctx context.Context, c *Claim, write mothferry.Write) {
-	pause := minEndRetryDelay
+	delay := minEndRetryDelay
 	for range maxEndAttempts {
 		_, err := l.submit(ctx, &operation{check: mothferry.Check{Key: write.Key, Version: c.version}, write: write})
 		var conflict *mothferry.ErrConflict
 		if err == nil || errors.As(err, &conflict) {
 			return
 		}
-		if !mfclock.Sleep(ctx, l.Clock, pause) {
+		if !mfclock.Sleep(ctx, l.Clock, delay) {
 			return
 		}
-		pause = min(2*pause, maxEndRetryDelay)
+		delay = min(2*delay, maxEndRetryDelay)
 	}
-	l.Log.WithField("service", c.key.Service).Warn("End of a keyed request was not recorded.")
+	l.Log.WithField("service", c.key.Service).Warn("end of a keyed request was not recorded")
 }
 
-// withdraw removes a claim that may or may not have been written.
+// withdraw deletes a claim that may or may not have been written.
 func (l *Ledger) withdraw(ctx context.Context, c *Claim) {
-	pause := minEndRetryDelay
+	delay := minEndRetryDelay
 	for range maxEndAttempts {
 		rows, err := l.Table.Read(ctx, mothferry.Query{Keys: []mothferry.Key{c.key.row()}})
 		if err == nil {
 			l.withdrawRows(ctx, c, rows)
 			return
 		}
-		if !mfclock.Sleep(ctx, l.Clock, pause) {
+		if !mfclock.Sleep(ctx, l.Clock, delay) {
 			return
 		}
-		pause = min(2*pause, maxEndRetryDelay)
+		delay = min(2*delay, maxEndRetryDelay)
 	}
-	l.Log.WithField("service", c.key.Service).Warn("Claim whose reply was lost was not withdrawn.")
+	l.Log.WithField("service", c.key.Service).Warn("claim without a reply was not withdrawn")
 }
 
 func (l *Ledger) withdrawRows(ctx context.Context, c *Claim, rows []mothferry.Row) {
@@ -243,7 +245,7 @@
 	}
 }
 
-// errNeverSent reports an operation that was given up before any transaction held it.
+// errNeverSent reports an operation that was abandoned before it was part of any transaction.
 type errNeverSent struct{ cause error }
 
 // Error implements error.
@@ -253,11 +255,11 @@
 func (e *errNeverSent) Unwrap() error { return e.cause }
 
 func neverSent(err error) bool {
-	var never *errNeverSent
-	return errors.As(err, &never)
+	var target *errNeverSent
+	return errors.As(err, &target)
 }
 
-// submit hands an operation to the writers and waits for its outcome.
+// submit passes an operation to the writers and waits for its outcome.
 func (l *Ledger) submit(ctx context.Context, o *operation) (mothferry.Version, error) {
 	o.done = make(chan outcome, 1)
 	select {
@@ -266,16 +268,16 @@
 		return 0, trace.Wrap(&errNeverSent{cause: ctx.Err()})
 	}
 	select {
-	case k := <-o.done:
-		return k.version, k.err
+	case result := <-o.done:
+		return result.version, result.err
 	case <-ctx.Done():
 		return 0, trace.Wrap(&mothferry.ErrUnavailable{Operation: "ledger write", Err: ctx.Err()})
 	}
 }
 
-// runWriter takes operations and commits whatever waits in one transaction. While
-// one transaction is under way the next batch gathers, so that batches grow
-// with the load and a lone request does not wait for company.
+// runWriter commits the waiting operations in one transaction at a time. The next batch
+// accumulates while a transaction is in progress, so that batches grow with the load and a
+// single request does not wait for others.
 func (l *Ledger) runWriter(ctx context.Context) {
 	for {
 		select {
@@ -287,8 +289,8 @@
 	}
 }
 
-// gatherBatch adds the operations that already wait. Two on the same row cannot
-// share a transaction; the second one goes back to the queue.
+// gatherBatch adds the operations that already wait. Two operations on the same row cannot
+// share a transaction; the second one is queued again.
 func (l *Ledger) gatherBatch(first *operation) []*operation {
 	batch := []*operation{first}
 	rows := map[mothferry.Key]bool{first.write.Key: true}
@@ -308,12 +310,11 @@
 	return batch
 }
 
-// commit writes a batch. Operations in conflict are answered and taken out,
-// and the rest is tried again. A batch without a reply is tried once more: if
-// the first try took effect, its rows now conflict, and each claim is found
-// by its token.
+// commit writes a batch. Operations in conflict are completed and removed, and the rest is
+// retried. A batch without a reply is retried once: if the first attempt took effect, its rows
+// now conflict, and each claim is recognised by its token.
 func (l *Ledger) commit(ctx context.Context, batch []*operation) {
-	repeated := false
+	retried := false
 	for len(batch) > 0 {
 		version, err := l.Table.Commit(ctx, transaction(batch))
 		var conflict *mothferry.ErrConflict
@@ -323,11 +324,11 @@
 			return
 		case errors.As(err, &conflict) && len(conflict.Rows) > 0:
 			batch = completeConflicts(batch, conflict.Rows)
-		case repeated:
+		case retried:
 			complete(batch, outcome{err: trace.Wrap(err)})
 			return
 		default:
-			repeated = true
+			retried = true
 		}
 	}
 }
@@ -341,32 +342,33 @@
 	return txn
 }
 
-func complete(batch []*operation, k outcome) {
+func complete(batch []*operation, result outcome) {
 	for _, o := range batch {
-		o.done <- k
+		o.done <- result
 	}
 }
 
-// completeConflicts answers the operations whose rows are in conflict and
-// returns the others.
+// completeConflicts completes the operations whose rows are in conflict and returns the
+// others.
 func completeConflicts(batch []*operation, rows []mothferry.Row) []*operation {
-	stale := map[mothferry.Key]mothferry.Row{}
+	conflicting := map[mothferry.Key]mothferry.Row{}
 	for _, r := range rows {
-		stale[r.Key] = r
+		conflicting[r.Key] = r
 	}
-	var rest []*operation
+	var remaining []*operation
 	for _, o := range batch {
-		row, ok := stale[o.write.Key]
+		row, ok := conflicting[o.write.Key]
 		if !ok {
-			rest = append(rest, o)
+			remaining = append(remaining, o)
 			continue
 		}
 		o.done <- outcome{err: trace.Wrap(&mothferry.ErrConflict{Rows: []mothferry.Row{row}})}
 	}
-	if len(rest) == len(batch) {
-		// Conflicts that name none of the rows asked for would be tried forever.
+	if len(remaining) == len(batch) {
+		// Conflicts that contain none of the requested rows would otherwise be retried
+		// forever.
 		complete(batch, outcome{err: trace.Wrap(&mothferry.ErrBadReply{Operation: "ledger write", Detail: "conflict of other rows"})})
 		return nil
 	}
-	return rest
+	return remaining
 }
--- a/mfledger/ledger_test.go
+++ b/mfledger/ledger_test.go
@@ -45,19 +45,19 @@
 func assertRefused(t *testing.T, l *Ledger, k Key, digest Digest, reason mothferry.Reason) {
 	t.Helper()
 	_, _, err := l.Claim(t.Context(), k, digest, inOneHour())
-	var taken *ErrKeyClaimed
-	assert.Assert(t, errors.As(err, &taken), "%v", err)
-	assert.Equal(t, taken.Reason, reason)
+	var claimed *ErrKeyClaimed
+	assert.Assert(t, errors.As(err, &claimed), "%v", err)
+	assert.Equal(t, claimed.Reason, reason)
 }
 
-// waitForRefusal waits until a claim is refused for a reason, as its record is
-// written in the background.
+// waitForRefusal waits until a claim is refused for a reason, since ends are recorded in the
+// background.
 func waitForRefusal(t *testing.T, l *Ledger, k Key, reason mothferry.Reason) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		_, _, err := l.Claim(t.Context(), k, "d", inOneHour())
-		var taken *ErrKeyClaimed
-		if errors.As(err, &taken) && taken.Reason == reason {
+		var claimed *ErrKeyClaimed
+		if errors.As(err, &claimed) && claimed.Reason == reason {
 			return poll.Success()
 		}
 		return poll.Continue("%v", err)
@@ -103,10 +103,9 @@
 	assertRefused(t, two, key("dead"), "d", mothferry.ReasonOutcomeUnknown)
 }
 
-// TestClaimSurvivesLostReply: symptom, a keyed request is told "still running" by its
-// own claim. Sequence: the table writes the claim, its reply is lost, the
-// ledger tries again and finds the row taken. Cause: without the token the
-// ledger cannot tell its own write from another's.
+// TestClaimSurvivesLostReply checks that a request is not refused as "still running" because
+// of its own claim. If the table writes the claim and its reply is lost, the retry finds the
+// row claimed, and only the token identifies it as the ledger's own write.
 func TestClaimSurvivesLostReply(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	l := startLedger(t, table, mfclock.System{})
@@ -118,11 +117,9 @@
 	assert.NilError(t, err)
 }
 
-// TestUnconfirmedClaimIsWithdrawn: symptom, a request that was refused because the ledger
-// could not be reached stays "still running" until its key expires. Sequence:
-// the claim is written, both replies are lost, the request is refused as not
-// run, its caller comes back. Cause: the claim of a request that was never
-// sent has to be taken back.
+// TestUnconfirmedClaimIsWithdrawn checks that a claim is deleted if its request is refused
+// because the ledger got no reply. Otherwise the claim of a request that was never sent would
+// refuse its repeats as "still running" until the key expires.
 func TestUnconfirmedClaimIsWithdrawn(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	l := startLedger(t, table, mffake.InstantClock{})
@@ -140,8 +137,8 @@
 	}, poll.WithTimeout(time.Minute))
 }
 
-// cancellingTable cancels the caller's context with the first commit, so that the
-// claim's outcome does not reach it.
+// cancellingTable cancels the caller's context at the first commit, so that the caller does
+// not receive the claim's outcome.
 type cancellingTable struct {
 	mothferry.Table
 	cancel context.CancelFunc
@@ -152,11 +149,9 @@
 	return l.Table.Commit(ctx, txn)
 }
 
-// TestLateDeleteKeepsNewClaim: symptom, a keyed request runs twice. Sequence:
-// a claim is given back, the delete's reply is lost and it is sent again; in
-// between the caller's repeat claims the key and runs; the second delete
-// removes that claim; a third repeat claims and runs too. Cause: a delete that
-// does not name the version it means.
+// TestLateDeleteKeepsNewClaim checks that a repeated delete of a released claim does not
+// delete a newer claim of the key. A delete without a version would remove the claim of a
+// repeat that is running, and the next repeat would run the request a second time.
 func TestLateDeleteKeepsNewClaim(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	one, two := startLedger(t, table, mfclock.System{}), startLedger(t, table, mfclock.System{})
@@ -169,8 +164,8 @@
 	assertRefused(t, one, key("k"), "d", mothferry.ReasonStillRunning)
 }
 
-// TestGroupCommit: many claims at once share transactions, and one conflict
-// among them harms no other.
+// TestGroupCommit checks that concurrent claims share transactions, and that a conflict of one
+// claim does not affect the others.
 func TestGroupCommit(t *testing.T) {
 	table := &gatedTable{Table: mffake.NewTable(mfclock.System{}), opened: make(chan struct{})}
 	l := startLedger(t, table, mfclock.System{})
@@ -187,7 +182,7 @@
 			assert.Check(t, (err == nil) == (i != 7), "%d: %v", i, err)
 		})
 	}
-	// No transaction ends before all claims wait, however slow the machine.
+	// No transaction ends before all claims wait, regardless of the machine's speed.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if waiting := len(l.operations) + int(table.held.Load()); waiting < claims {
 			return poll.Continue("%d wait", waiting)
@@ -201,7 +196,7 @@
 	assert.Assert(t, commits < claims/5)
 }
 
-// gatedTable is a table whose commits wait until it is opened, unless they may pass.
+// gatedTable is a table whose commits wait until it is opened, except while ungated is set.
 type gatedTable struct {
 	*mffake.Table
 	ungated atomic.Bool
@@ -218,7 +213,7 @@
 	return g.Table.Commit(ctx, txn)
 }
 
-// slowTable is a table whose commits take as long as a real one's.
+// slowTable is a table with the commit latency of a real one.
 type slowTable struct{ *mffake.Table }
 
 func (s *slowTable) Commit(ctx context.Context, txn mothferry.Txn) (mothferry.Version, error) {
@@ -226,16 +221,16 @@
 	return s.Table.Commit(ctx, txn)
 }
 
-// historyStep is one step of a key's history as porcupine checks it: claim number id
-// is made, given back by its holder, or withdrawn because its reply was lost.
+// historyStep is one step of a key's history for porcupine: the claim with this id is made,
+// released by its holder, or withdrawn because its reply was lost.
 type historyStep struct {
 	id   int
 	kind string
 }
 
-// singleHolderModel is the model of a key, whose state is the claim that holds it, 0
-// for none. A claim that succeeded needs the key free; one refused as running
-// needs it held; one without a reply may or may not have taken it.
+// singleHolderModel is the model of a key; its state is the claim that holds it, 0 for none. A
+// successful claim requires a free key, and one refused as running a held key; one without a
+// reply may or may not have been written.
 var singleHolderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
@@ -259,8 +254,8 @@
 	},
 }
 
-// TestKeyHasOneHolder lets several ledgers claim and give back one key while replies
-// and calls are lost, and checks the history: never two holders at a time.
+// TestKeyHasOneHolder lets several ledgers claim and release one key while replies and calls
+// are lost, and checks that the history never has two holders at a time.
 func TestKeyHasOneHolder(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		table := mffake.NewTable(mfclock.System{})
@@ -277,31 +272,31 @@
 		table.LoseCalls(rapid.IntRange(0, 3).Draw(t, "calls"))
 		var mutex sync.Mutex
 		var history []porcupine.Operation
-		note := func(client int, in historyStep, out string, began, ended time.Time) {
+		appendStep := func(client int, in historyStep, out string, start, end time.Time) {
 			mutex.Lock()
 			defer mutex.Unlock()
-			history = append(history, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: began.UnixNano(), Return: ended.UnixNano()})
+			history = append(history, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: start.UnixNano(), Return: end.UnixNano()})
 		}
 		var group sync.WaitGroup
 		for c := range 4 {
 			group.Go(func() {
 				for i := range 4 {
-					id, began := 1+c*4+i, time.Now()
+					id, start := 1+c*4+i, time.Now()
 					l := ledgers[(c+i)%len(ledgers)]
 					claim, _, err := l.Claim(ctx, key("k"), "d", inOneHour())
-					var taken *ErrKeyClaimed
+					var claimed *ErrKeyClaimed
 					switch {
 					case err == nil:
-						note(c, historyStep{id, "claim"}, "claimed", began, time.Now())
-						began = time.Now()
+						appendStep(c, historyStep{id, "claim"}, "claimed", start, time.Now())
+						start = time.Now()
 						l.ReleaseClaim(ctx, claim)
-						note(c, historyStep{id, "give back"}, "", began, time.Now())
-					case errors.As(err, &taken):
-						note(c, historyStep{id, "claim"}, "running", began, time.Now())
+						appendStep(c, historyStep{id, "release"}, "", start, time.Now())
+					case errors.As(err, &claimed):
+						appendStep(c, historyStep{id, "claim"}, "running", start, time.Now())
 					default:
 						// The write and its withdrawal may take effect at any later time.
-						note(c, historyStep{id, "claim"}, "no reply", began, inOneHour())
-						note(c, historyStep{id, "withdraw"}, "", began, inOneHour())
+						appendStep(c, historyStep{id, "claim"}, "no reply", start, inOneHour())
+						appendStep(c, historyStep{id, "withdraw"}, "", start, inOneHour())
 					}
 				}
 			})
--- a/mfledger/record.go
+++ b/mfledger/record.go
@@ -1,7 +1,6 @@
-// Package mfledger guards requests that carry an idempotency key: a key is
-// claimed on the platform's table before its request is sent, and the end is
-// recorded after, so that the request runs at most once on whichever daemon
-// its repeats arrive.
+// Package mfledger ensures that a request with an idempotency key runs at most once, on
+// whichever daemon its repeats arrive: the key is claimed in the platform's table before the
+// request is sent, and the end is recorded afterwards.
 package mfledger
 
 import (
@@ -16,16 +15,16 @@
 	"mothferry"
 )
 
-// Key names one keyed request. The same key of another customer or service
-// names another request.
+// Key identifies a keyed request. The same key of another customer or service identifies
+// another request.
 type Key struct {
 	Customer mothferry.CustomerID
 	Service  mothferry.ServiceID
 	Key      string
 }
 
-// row returns the key of the request's row. The caller's key is hashed: it
-// may be long or hold any byte.
+// row returns the key of the request's row. The caller's key is hashed because it may be long
+// or contain any byte.
 func (k Key) row() mothferry.Key {
 	sum := sha256.Sum256([]byte(k.Key))
 	return mothferry.Key("ledger/" + string(k.Service) + "/" + url.PathEscape(string(k.Customer)) + "/" + hex.EncodeToString(sum[:]))
@@ -45,13 +44,13 @@
 	return Digest(hex.EncodeToString(h.Sum(nil)))
 }
 
-// state is how far a keyed request has come.
+// state is the progress of a keyed request.
 type state string
 
 const (
 	stateRunning  state = "running"
 	stateAnswered state = "answered"
-	// stateTooLarge is an answer that was given but is too large to keep.
+	// stateTooLarge means that the request was answered and the answer is too large to keep.
 	stateTooLarge state = "answered_too_large"
 	stateUnknown  state = "unknown"
 )
@@ -63,12 +62,12 @@
 	Body   []byte              `json:"body"`
 }
 
-// record is a keyed request's row.
+// record is the row of a keyed request.
 type record struct {
 	State  state           `json:"state"`
 	Digest Digest          `json:"digest"`
 	Token  mothferry.Token `json:"token"`
-	// Until is when a running request has ended, whatever became of it.
+	// Until is the time at which a running request has ended, whatever its outcome.
 	Until  time.Time `json:"until"`
 	Answer *Answer   `json:"answer,omitempty"`
 }
--- a/mfroute/balancer_test.go
+++ b/mfroute/balancer_test.go
@@ -207,7 +207,7 @@
 		}
 		k.balancer.Submit(again)
 	}
-	assert.Assert(t, granted <= maxRetryBudget+first/5, "%d second tries", granted)
+	assert.Assert(t, granted <= maxRetryBudget+first/5, "%d retries", granted)
 	assert.Assert(t, granted >= first/5)
 }
 
