--- a/mfroute/model_test.go
+++ b/mfroute/model_test.go
@@ -113,7 +113,7 @@
 	customer mothferry.CustomerID
 	host     dispatcher
 	lease    *Lease
-	attempts    int
+	attempts int
 }
 
 // Now implements mothferry.Clock.
@@ -326,7 +326,9 @@
 	group.Go(func() { atOver = simulate(over, newPolicy()) })
 	group.Go(func() { atNoisy = simulate(noisy, newPolicy()) })
 	group.Go(func() { dead = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, dead: 1}, newPolicy()) })
-	group.Go(func() { alwaysBusy = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, alwaysBusy: 1}, newPolicy()) })
+	group.Go(func() {
+		alwaysBusy = simulate(scenario{load: 0.7, runners: 10, split: evenSplit, alwaysBusy: 1}, newPolicy())
+	})
 	group.Wait()
 	assert.Assert(t, atOver.goodput >= 0.97 && atOver.p99 <= modelDeadline/2, "130%%: %+v", atOver)
 	assert.Assert(t, atHigh.p99 <= limit.p99*5/4 && atHigh.refused < 0.1, "95%%: %+v, limit %s", atHigh, limit.p99)
