--- a/mfprocess/control_test.go
+++ b/mfprocess/control_test.go
@@ -18,17 +18,18 @@
 	"mothferry/mfstandin"
 )
 
-// controlSize is what a measurement of control runs at.
+// controlSize is the size of the deployment in one run of BenchmarkControl.
 type controlSize struct {
 	daemonsPerCentre int
 	pools            int
 	hosts            int
 	documents        int
-	// entry leaves the entry on, idle, so that heartbeats tell of services.
+	// entry enables the entry role, without load, so that heartbeats carry the status of
+	// services.
 	entry bool
 }
 
-// usage is what one daemon has used up to a moment.
+// usage is a daemon's use of resources at one time.
 type usage struct {
 	cpuTime       time.Duration
 	resident      mothferry.Bytes
@@ -36,8 +37,9 @@
 	platformBytes float64
 }
 
-// BenchmarkControl measures a daemon's control alone, its entry switched off,
-// while nothing changes. Each size is varied by itself. Run with -benchtime 1x.
+// BenchmarkControl measures the cost of a daemon's control role while nothing changes. The
+// entry role is off, or idle in the last runs. Each size is varied by itself. Run with
+// -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
 	base := controlSize{daemonsPerCentre: 2, pools: 1, hosts: 32, documents: 10}
 	sizes := []controlSize{base}
@@ -108,8 +110,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// resourceUsage reads a daemon's use of processor and memory from the operating system
-// and its bytes, both ways together, from its metrics.
+// resourceUsage reads a daemon's CPU time and resident memory from /proc, and from its metrics
+// the bytes that it sent and received.
 func (d *deployment) resourceUsage(t testing.TB, p *process) usage {
 	t.Helper()
 	const tick = 10 * time.Millisecond
--- a/mfprocess/deployment_test.go
+++ b/mfprocess/deployment_test.go
@@ -28,11 +28,11 @@
 	"mothferry/mfstandin"
 )
 
-// waitTimeout bounds waits for what must happen. It is far above what is needed,
-// so that no verdict depends on how busy the machine is.
+// waitTimeout bounds waits for conditions that must come about. It is far above the time that
+// they need, so that a busy machine fails no test.
 const waitTimeout = time.Minute
 
-// binaryDir are the programs under test, built once.
+// binaryDir holds the programs under test, built once by TestMain.
 var binaryDir string
 
 func TestMain(m *testing.M) {
@@ -63,20 +63,20 @@
 
 func (p *process) callerURL() string { return "http://" + p.address + ":7300" }
 
-// deployment is a set of processes.
+// deployment is the stand-in and the daemons of one test.
 type deployment struct {
 	platformAddress string
 	processes       []*process
 	client          *http.Client
 }
 
-// startDeployment runs the stand-in and, in each of three data centres, some daemons.
+// startDeployment starts the stand-in and perCentre daemons in each of three data centres.
 func startDeployment(t testing.TB, perCentre int, settings string) *deployment {
 	t.Helper()
 	return startDeploymentWith(t, perCentre, settings, "--hosts", "16")
 }
 
-// startDeploymentWith does the same with flags for the stand-in.
+// startDeploymentWith is startDeployment with flags for the stand-in.
 func startDeploymentWith(t testing.TB, perCentre int, settings string, flags ...string) *deployment {
 	t.Helper()
 	subnet := mffake.ClaimSubnet(t)
@@ -125,7 +125,7 @@
 	return out.String()
 }
 
-// startDaemon starts a daemon's process, or starts it again.
+// startDaemon starts or restarts a daemon's process.
 func (d *deployment) startDaemon(t testing.TB, p *process) {
 	t.Helper()
 	p.command = d.startProgram(t, string(p.name), "mothferry", "serve", "--settings", p.settingsFile)
@@ -135,8 +135,8 @@
 	go func() { _ = command.Wait(); close(ended) }()
 }
 
-// startProgram starts a program and kills it at the end of the test. Its log is shown
-// if the test failed.
+// startProgram starts a program and kills it at the end of the test. The end of its log is
+// printed if the test failed.
 func (d *deployment) startProgram(t testing.TB, name, program string, arguments ...string) *exec.Cmd {
 	t.Helper()
 	log, err := os.CreateTemp(t.TempDir(), name)
@@ -159,32 +159,30 @@
 	return strings.Join(all[max(len(all)-lines, 0):], "\n")
 }
 
-// signal sends a signal to a daemon's process.
 func (p *process) signal(t testing.TB, s syscall.Signal) {
 	t.Helper()
 	assert.NilError(t, p.command.Process.Signal(s))
 }
 
-// kill ends a daemon's process without warning and waits until it is gone.
+// kill sends SIGKILL to a daemon's process and waits for its exit.
 func (p *process) kill(t testing.TB) {
 	t.Helper()
 	p.signal(t, syscall.SIGKILL)
 	<-p.exited
 }
 
-// eventually asserts that done becomes true.
+// eventually fails the test unless done returns true within waitTimeout.
 func eventually(t testing.TB, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("still not so after %s: %s", waitTimeout, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 	}
 }
 
-// apply applies the documents of the teams at changing daemons, waits until
-// they are in force at every daemon and every runner serves, and returns the
-// services.
+// apply applies the teams' documents at the daemons in turn, waits until they are in force at
+// every daemon and every runner serves, and returns the services.
 func (d *deployment) apply(t testing.TB, teams ...string) []mothferry.ServiceID {
 	t.Helper()
 	documents, err := mfexample.Documents(teams...)
@@ -205,7 +203,7 @@
 	return services
 }
 
-// awaitRevision asserts that daemons come to have a revision in force.
+// awaitRevision waits until the daemons have a revision in force.
 func (d *deployment) awaitRevision(t testing.TB, revision mothferry.Revision, processes []*process) {
 	t.Helper()
 	for _, p := range processes {
@@ -216,7 +214,7 @@
 	}
 }
 
-// awaitServing asserts that daemons come to see every wanted runner serve.
+// awaitServing waits until the status of each daemon shows every wanted runner serving.
 func (d *deployment) awaitServing(t testing.TB, processes []*process) {
 	t.Helper()
 	for _, p := range processes {
@@ -235,7 +233,7 @@
 	}
 }
 
-// call describes one request of a test.
+// call is one request of a test.
 type call struct {
 	method   string
 	service  mothferry.ServiceID
@@ -247,7 +245,7 @@
 	body     string
 }
 
-// result is what a caller saw.
+// result is the response to a call as its caller received it.
 type result struct {
 	status   int
 	end      mothferry.End
@@ -258,7 +256,7 @@
 	err      error
 }
 
-// runnerAnswer is what the stand-in's runner says of the request that it ran.
+// runnerAnswer is the body with which the stand-in's runner answers a request.
 type runnerAnswer struct {
 	Request  mothferry.RequestID  `json:"request"`
 	Customer mothferry.CustomerID `json:"customer"`
@@ -267,7 +265,7 @@
 	BodySize int                  `json:"body_size"`
 }
 
-// send makes a call at a daemon.
+// send sends a call to a daemon.
 func (d *deployment) send(ctx context.Context, p *process, c call) result {
 	request, err := http.NewRequestWithContext(ctx, c.method, p.callerURL()+"/"+string(c.service)+c.path, strings.NewReader(c.body))
 	if err != nil {
@@ -276,8 +274,8 @@
 	request.Header.Set(mothferry.HeaderRequestID, string(c.id))
 	request.Header.Set(mothferry.HeaderCustomer, string(c.customer))
 	if c.key != "" {
-		// A spelling that net/http's own client does not take for a licence
-		// to send the request twice: the test counts what it sends.
+		// net/http's client may resend a request with an Idempotency-Key header. It doesn't
+		// recognize this spelling, so that each call is sent once and the test can count runs.
 		request.Header["idempotency-key"] = []string{c.key}
 	}
 	if c.timeout > 0 {
@@ -298,7 +296,7 @@
 	}
 }
 
-// checkOwnAnswer asserts that an answered call got its own whole answer.
+// checkOwnAnswer checks that an answered call received the complete answer to its own request.
 func checkOwnAnswer(t *testing.T, c call, r result) {
 	t.Helper()
 	var a runnerAnswer
@@ -309,7 +307,7 @@
 	assert.Equal(t, a.BodySize, len(c.body))
 }
 
-// setStandin sets a switch of the stand-in.
+// setStandin sets a fault or another setting of the stand-in.
 func (d *deployment) setStandin(t testing.TB, path string, value any) {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -322,7 +320,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// getStandin reads a page of the stand-in.
+// getStandin reads a JSON resource of the stand-in.
 func getStandin[T any](t testing.TB, d *deployment, path string) T {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.platformAddress+"/standin/"+path, nil)
@@ -335,7 +333,7 @@
 	return value
 }
 
-// runCounts returns how often each request ran.
+// runCounts returns how often each request ran, from the stand-in's journal.
 func (d *deployment) runCounts(t *testing.T) map[mothferry.RequestID]int {
 	t.Helper()
 	count := map[mothferry.RequestID]int{}
@@ -345,7 +343,7 @@
 	return count
 }
 
-// placedRunners returns the runners of a service that a daemon has in force.
+// placedRunners returns a service's runners in the placements that a daemon has in force.
 func placedRunners(t testing.TB, p *process, service mothferry.ServiceID) []mfplacement.Runner {
 	t.Helper()
 	records, err := p.operator.Placements(t.Context())
--- a/mfprocess/documents_test.go
+++ b/mfprocess/documents_test.go
@@ -14,16 +14,17 @@
 	"mothferry/mfexample"
 )
 
-// BenchmarkDocuments measures the time from sending a change to its being in
-// force at each of 9 daemons, as each of them says itself, and the bytes
-// between peers for each change and daemon. Run with -benchtime 200x.
+// BenchmarkDocuments measures the time from sending a change until each of 9 daemons reports
+// it in force, and the bytes sent between peers for each change and daemon. At the end it
+// measures how long a daemon takes to catch up after 3 s of suspension. Run with -benchtime
+// 200x.
 func BenchmarkDocuments(b *testing.B) {
 	d := startDeployment(b, 3, "roles: {entry: false}\n")
 	d.apply(b, "kelani")
 	documents, err := mfexample.Documents("kelani")
 	assert.NilError(b, err)
-	quiet := d.idlePeerRate(b, 3*time.Second)
-	var took []time.Duration
+	idleRate := d.idlePeerRate(b, 3*time.Second)
+	var latencies []time.Duration
 	before, began := d.peerBytesSent(b), time.Now()
 	for i := range b.N {
 		k := documents[i%len(documents)]
@@ -50,13 +51,13 @@
 			})
 		}
 		group.Wait()
-		took = append(took, time.Since(start))
+		latencies = append(latencies, time.Since(start))
 	}
-	changes := (d.peerBytesSent(b) - before) - quiet*time.Since(began).Seconds()
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
-	b.ReportMetric(float64(took[len(took)-1].Microseconds())/1000, "most-ms")
+	changes := (d.peerBytesSent(b) - before) - idleRate*time.Since(began).Seconds()
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+	b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(latencies[len(latencies)-1].Microseconds())/1000, "most-ms")
 	b.ReportMetric(changes/float64(b.N*len(d.processes)), "bytes/change/daemon")
 
 	paused := d.processes[4]
@@ -73,7 +74,7 @@
 	b.ReportMetric(float64(time.Since(resumed).Milliseconds()), "after-pause-ms")
 }
 
-// peerBytesSent returns the bytes that all daemons sent to peers so far.
+// peerBytesSent returns the bytes that all daemons have sent to peers so far.
 func (d *deployment) peerBytesSent(b *testing.B) float64 {
 	b.Helper()
 	sum := 0.0
@@ -83,8 +84,8 @@
 	return sum
 }
 
-// idlePeerRate returns the bytes a second that all daemons send to peers while
-// nothing changes.
+// idlePeerRate returns the bytes a second that all daemons send to peers while nothing
+// changes.
 func (d *deployment) idlePeerRate(b *testing.B, span time.Duration) float64 {
 	b.Helper()
 	before := d.peerBytesSent(b)
--- a/mfprocess/endtoend_test.go
+++ b/mfprocess/endtoend_test.go
@@ -12,8 +12,9 @@
 	"mothferry"
 )
 
-// TestEndToEnd serves both users' services from separate processes and
-// checks that each caller gets the whole answer to its own request.
+// TestEndToEnd serves both teams' services from separate processes. Each caller gets the
+// complete answer to its own request, no request runs twice, and the daemons exit with code 0
+// on SIGTERM.
 func TestEndToEnd(t *testing.T) {
 	for _, team := range []string{"kelani", "stoisk"} {
 		t.Run(team, func(t *testing.T) {
@@ -44,8 +45,8 @@
 			for id, n := range d.runCounts(t) {
 				assert.Check(t, n == 1, "%s ran %d times", id, n)
 			}
-			// A connection that never carried a request would keep the daemons
-			// for 5 s, as http.Server's Shutdown waits for its first.
+			// http.Server's Shutdown waits 5 s for the first request of a connection that
+			// never carried one.
 			d.client.CloseIdleConnections()
 			for _, p := range d.processes {
 				p.signal(t, syscall.SIGTERM)
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestDaemonStartsDuringPlatformOutage shows that a daemon which starts while
-// the platform is out takes the documents that its peers hold, and serves.
+// TestDaemonStartsDuringPlatformOutage checks that a daemon that starts while the platform is
+// unavailable takes the documents from its peers, and serves.
 func TestDaemonStartsDuringPlatformOutage(t *testing.T) {
 	d := startDeployment(t, 2, "")
 	d.apply(t, "kelani")
--- a/mfprocess/failure_test.go
+++ b/mfprocess/failure_test.go
@@ -19,13 +19,13 @@
 	"mothferry/mfstandin"
 )
 
-// recordedCall is one call and what its caller saw, as the history holds it.
+// recordedCall is one call of a history, with its result.
 type recordedCall struct {
 	call   call
 	result result
 }
 
-// history gathers what callers did.
+// history records the callers' calls and their results.
 type history struct {
 	mutex sync.Mutex
 	calls []recordedCall
@@ -37,8 +37,8 @@
 	h.calls = append(h.calls, recordedCall{c, r})
 }
 
-// check compares the callers' history with the runners' journal, and returns how
-// many calls were answered.
+// check compares the history with the runners' journal and returns how many calls were
+// answered. No request or key may run twice, and none that was refused may run.
 func (h *history) check(t *testing.T, runs []mfstandin.Run) int {
 	t.Helper()
 	byID, byKey := map[mothferry.RequestID]int{}, map[string]int{}
@@ -58,8 +58,8 @@
 		}
 		switch s.result.end {
 		case mothferry.EndNotRun:
-			assert.Check(t, ran == 0, "%s was told not_run (%s) and ran", s.call.id, s.result.reason)
-			assert.Check(t, s.result.retry != "", "%s was not told when to come back", s.call.id)
+			assert.Check(t, ran == 0, "%s ended as not_run (%s) but ran", s.call.id, s.result.reason)
+			assert.Check(t, s.result.retry != "", "%s has no Retry-After", s.call.id)
 		case mothferry.EndAnswered:
 			if s.call.key == "" {
 				assert.Check(t, ran == 1, "%s was answered and ran %d times", s.call.id, ran)
@@ -81,10 +81,10 @@
 	return ends[mothferry.EndAnswered]
 }
 
-// TestAtMostOnceUnderFailure lets callers send orders that may not be repeated,
-// with and without keys and the same key at several daemons at once, while
-// runners and daemons are killed and frozen, runners cut or drop answers after
-// they ran the request, and the table is down, slow, or loses replies.
+// TestAtMostOnceUnderFailure checks that no order runs twice while runners and daemons are
+// killed or suspended, runners cut or drop answers after they ran the request, and the table
+// is down, slow or loses replies. Callers send orders that may not be repeated, half of them
+// with keys, the same key to several daemons at once.
 func TestAtMostOnceUnderFailure(t *testing.T) {
 	d := startDeployment(t, 2, "timing: {unready: 100ms}\n")
 	services := d.apply(t, "stoisk")
@@ -113,11 +113,11 @@
 	stop()
 	callers.Wait()
 	answered := h.check(t, getStandin[[]mfstandin.Run](t, d, "journal"))
-	assert.Check(t, answered > len(h.calls)/4, "too few answers for the test to mean anything")
+	assert.Check(t, answered > len(h.calls)/4, "too few calls were answered for a conclusive test")
 }
 
-// sendRepeatedly sends a keyed call at two daemons at once and then until it has an
-// answer, a few times.
+// sendRepeatedly sends a keyed call to two daemons at once, then up to three times more until
+// it is answered.
 func (d *deployment) sendRepeatedly(ctx context.Context, h *history, c call, random *rand.Rand) {
 	var group sync.WaitGroup
 	for n := range 2 {
@@ -138,7 +138,7 @@
 	}
 }
 
-// injectFaults brings about one fault after the other under the callers' load.
+// injectFaults injects one fault after the other while callers send requests.
 func (d *deployment) injectFaults(t *testing.T, services []mothferry.ServiceID) {
 	t.Helper()
 	pause := func() { time.Sleep(400 * time.Millisecond) }
@@ -156,15 +156,15 @@
 	runner(services[2], mfstandin.RunnerFaults{CutAfter: 40})
 	runner(services[3], mfstandin.RunnerFaults{Work: 1500 * time.Millisecond})
 	pause()
-	killed, frozen := d.processes[0], d.processes[3]
+	killed, suspended := d.processes[0], d.processes[3]
 	killed.kill(t)
-	frozen.signal(t, syscall.SIGSTOP)
+	suspended.signal(t, syscall.SIGSTOP)
 	d.setStandin(t, "faults", mfstandin.Faults{LoseReplies: 20})
 	pause()
 	pause()
 	d.startDaemon(t, killed)
 	pause()
-	frozen.signal(t, syscall.SIGCONT)
+	suspended.signal(t, syscall.SIGCONT)
 	d.setStandin(t, "faults", mfstandin.Faults{Down: true})
 	pause()
 	d.setStandin(t, "faults", mfstandin.Faults{Delay: 50 * time.Millisecond, LoseReplies: 20})
@@ -173,9 +173,9 @@
 	pause()
 }
 
-// TestServesWhenPartitioned takes the platform away, then a data centre's runners, then the
-// other data centres. What can be served is served; the rest is refused at
-// once and told when to come back.
+// TestServesWhenPartitioned makes the platform unavailable, then a data centre's runners, then
+// the other data centres. Requests that can be served are served; the others are refused at
+// once, with Retry-After.
 func TestServesWhenPartitioned(t *testing.T) {
 	d := startDeployment(t, 2, "")
 	d.apply(t, "stoisk")
@@ -197,9 +197,9 @@
 	for _, k := range placedRunners(t, p, "stands") {
 		d.setStandin(t, "runners/"+string(k.Task), mfstandin.RunnerFaults{Dead: true})
 	}
-	// Each attempt is a request of its own: one whose end is unknown, such as the
-	// first over a connection to a runner that has just died, may have run, and
-	// its caller may not send it again.
+	// Each attempt is a request of its own: one whose end is unknown, such as the first over a
+	// connection to a runner that has just died, may have run, and its caller may not send it
+	// again.
 	h := &history{}
 	attempt := func(name, path string) result {
 		c := call{method: http.MethodPost, service: "stands", path: path, customer: "c", id: mothferry.RequestID(fmt.Sprint(name, len(h.calls))), body: "x"}
@@ -226,16 +226,16 @@
 	assert.Assert(t, h.check(t, getStandin[[]mfstandin.Run](t, d, "journal")) > 0)
 }
 
-// TestLeavingRunnersGetNoNewRequests: a document asks for fewer runners, so some leave.
-// They have slow requests in flight, which must end whole, while the host list
-// lags, the platform goes out, a daemon is frozen through it all and resumes,
-// and another one joins. After the bound no runner that leaves gets new work.
+// TestLeavingRunnersGetNoNewRequests checks that runners which leave, since a document asks
+// for fewer, get no new requests after the bound, and that their slow requests in flight
+// complete. Meanwhile the host list lags, the platform is down, one daemon is suspended and
+// resumes, and another one starts.
 func TestLeavingRunnersGetNoNewRequests(t *testing.T) {
 	const bound = 3 * time.Second
 	d := startDeployment(t, 3, "")
 	d.setStandin(t, "faults", mfstandin.Faults{ListLag: time.Hour})
 	d.apply(t, "stoisk")
-	joining, frozen := d.processes[1], d.processes[2]
+	joining, suspended := d.processes[1], d.processes[2]
 	joining.kill(t)
 	var slow sync.WaitGroup
 	for i := range 12 {
@@ -246,7 +246,7 @@
 		})
 	}
 	eventually(t, "slow requests run", func() bool { return len(d.runCounts(t)) == 12 })
-	frozen.signal(t, syscall.SIGSTOP)
+	suspended.signal(t, syscall.SIGSTOP)
 	base := d.setRunnerCount(t, "stoisk", "payments", 3)
 	leaving := map[mothferry.TaskID]bool{}
 	eventually(t, "runners leave", func() bool {
@@ -261,7 +261,7 @@
 	d.setStandin(t, "faults", mfstandin.Faults{Down: true, ListLag: time.Hour})
 	d.startDaemon(t, joining)
 	time.Sleep(bound + 200*time.Millisecond)
-	frozen.signal(t, syscall.SIGCONT)
+	suspended.signal(t, syscall.SIGCONT)
 	d.awaitRevision(t, base, []*process{joining})
 	var group sync.WaitGroup
 	for _, p := range d.processes[:3] {
@@ -279,18 +279,18 @@
 		if r.Time.After(since.Add(bound)) {
 			after++
 			if leaving[r.Runner] {
-				t.Logf("%s runs on %s, which leaves, %v after the bound", r.Request, r.Runner, r.Time.Sub(since.Add(bound)))
+				t.Logf("%s ran on leaving runner %s %v after the bound", r.Request, r.Runner, r.Time.Sub(since.Add(bound)))
 				late++
 			}
 		}
 	}
 	slow.Wait()
 	assert.Assert(t, after > 100, "only %d requests ran after the bound", after)
-	assert.Equal(t, late, 0, "new work at leaving runners after the bound")
+	assert.Equal(t, late, 0, "requests that ran on leaving runners after the bound")
 }
 
-// setRunnerCount changes the number of a service's runners and returns the revision
-// that was edited.
+// setRunnerCount changes a service's number of runners and returns the revision that was
+// edited.
 func (d *deployment) setRunnerCount(t *testing.T, team string, service mothferry.ServiceID, runners int) mothferry.Revision {
 	t.Helper()
 	documents, err := mfexample.Documents(team)
@@ -306,14 +306,13 @@
 		assert.NilError(t, err)
 		return base
 	}
-	t.Fatalf("no document of %s", service)
+	t.Fatalf("no document of service %s", service)
 	return 0
 }
 
-// TestRunnersStopOnlyWhenIdle: symptom, requests are cut off when a document asks for
-// fewer runners. Sequence: the holder asks the workers to stop runners at once,
-// while entry hosts still have requests there, and the workers are abrupt.
-// Cause: a stop that does not wait for every entry host to be done.
+// TestRunnersStopOnlyWhenIdle guards against requests that are cut off when a document asks
+// for fewer runners. That happens if the holder stops a runner before every entry host is done
+// with its requests there; the workers of this test stop runners abruptly.
 func TestRunnersStopOnlyWhenIdle(t *testing.T) {
 	d := startDeployment(t, 2, "")
 	d.apply(t, "stoisk")
@@ -344,8 +343,8 @@
 	group.Wait()
 }
 
-// TestRunnerCrashUnderLoad kills a runner under load: of the requests that may be
-// repeated none is lost, of the others only those that it was working on.
+// TestRunnerCrashUnderLoad kills a runner under load. No repeatable request may be lost, and
+// of the others only those in flight at that runner.
 func TestRunnerCrashUnderLoad(t *testing.T) {
 	d := startDeployment(t, 2, "")
 	d.apply(t, "kelani")
@@ -378,23 +377,22 @@
 	assert.Assert(t, lost["POST unknown"] <= int(victim.Slots), "%v", lost)
 }
 
-// TestGracefulStopUnderLoad stops a daemon and shrinks a service while slow requests and
-// kept-alive connections are in use: nothing in flight is cut off, and the
-// runner is told to stop only when nothing is left there.
+// TestGracefulStopUnderLoad stops a daemon while slow requests and kept-alive connections are
+// in use: no request in flight is cut off, and the daemon exits with code 0.
 func TestGracefulStopUnderLoad(t *testing.T) {
 	d := startDeployment(t, 2, "timing: {unready: 300ms}\n")
 	d.apply(t, "kelani")
-	leaving := d.processes[0]
+	stopping := d.processes[0]
 	var group sync.WaitGroup
 	for w := range 8 {
 		group.Go(func() {
 			client := &deployment{client: &http.Client{Timeout: waitTimeout}}
 			for i := range 6 {
 				c := call{method: http.MethodPost, service: "test-pressings", path: "/orders?work=300ms&size=100000", customer: mothferry.CustomerID(fmt.Sprint("c", w)), id: mothferry.RequestID(fmt.Sprint("r-", w, "-", i)), body: "x"}
-				r := client.send(t.Context(), leaving, c)
+				r := client.send(t.Context(), stopping, c)
 				if r.err != nil {
-					// Refused connections are the balancer's to avoid; a request
-					// whose connection was open must have been answered.
+					// Avoiding refused connections is up to the load balancer; a request whose
+					// connection was open must be answered.
 					assert.Check(t, d.runCounts(t)[c.id] == 0, "%s was cut off: %v", c.id, r.err)
 					return
 				}
@@ -403,13 +401,14 @@
 		})
 	}
 	eventually(t, "requests run", func() bool { return len(d.runCounts(t)) >= 8 })
-	leaving.signal(t, syscall.SIGTERM)
+	stopping.signal(t, syscall.SIGTERM)
 	group.Wait()
-	<-leaving.exited
-	assert.Equal(t, leaving.command.ProcessState.ExitCode(), 0)
+	<-stopping.exited
+	assert.Equal(t, stopping.command.ProcessState.ExitCode(), 0)
 }
 
-// TestSecondSignalExitsImmediately: a second SIGTERM ends a daemon without waiting.
+// TestSecondSignalExitsImmediately checks that a second SIGTERM ends a daemon without waiting
+// for requests in flight.
 func TestSecondSignalExitsImmediately(t *testing.T) {
 	d := startDeployment(t, 1, "")
 	d.apply(t, "kelani")
--- a/mfprocess/load_test.go
+++ b/mfprocess/load_test.go
@@ -17,35 +17,35 @@
 	"mothferry/mfstandin"
 )
 
-// generateLoad sends requests from a number of callers, each on a connection of its
-// own, and returns how many were answered a second and their percentiles. It
-// writes and reads HTTP by hand: net/http's client would take more of the
-// machine than the daemon under test.
+// generateLoad sends requests from a number of callers, each on a connection of its times, and
+// returns the responses a second, their latency percentiles and how many were not 200. It
+// reads and writes HTTP by hand, since net/http's client would use more CPU than the daemon
+// under test.
 func generateLoad(b *testing.B, callers, total int, address, path string) (rate float64, p50, p99 time.Duration, failed int) {
 	b.Helper()
 	var mutex sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var group sync.WaitGroup
 	began := time.Now()
 	for c := range callers {
 		group.Go(func() {
-			own, bad, err := runCaller(total/callers, address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: x\r\n%s: c%d\r\n\r\n", path, mothferry.HeaderCustomer, c))
+			times, bad, err := runCaller(total/callers, address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: x\r\n%s: c%d\r\n\r\n", path, mothferry.HeaderCustomer, c))
 			if err != nil {
 				b.Error(err)
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			took = append(took, own...)
+			latencies = append(latencies, times...)
 			failed += bad
 		})
 	}
 	group.Wait()
 	span := time.Since(began)
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	return float64(len(took)) / span.Seconds(), took[len(took)/2], took[len(took)*99/100], failed
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+	return float64(len(latencies)) / span.Seconds(), latencies[len(latencies)/2], latencies[len(latencies)*99/100], failed
 }
 
-func runCaller(count int, address, request string) (took []time.Duration, bad int, err error) {
+func runCaller(count int, address, request string) (latencies []time.Duration, bad int, err error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, 0, err
@@ -55,21 +55,21 @@
 	for range count {
 		start := time.Now()
 		if _, err := connection.Write([]byte(request)); err != nil {
-			return took, bad, err
+			return latencies, bad, err
 		}
 		ok, err := readResponse(reader)
 		if err != nil {
-			return took, bad, err
+			return latencies, bad, err
 		}
 		if !ok {
 			bad++
 		}
-		took = append(took, time.Since(start))
+		latencies = append(latencies, time.Since(start))
 	}
-	return took, bad, nil
+	return latencies, bad, nil
 }
 
-// readResponse reads one answer with a Content-Length and reports whether it was a 200.
+// readResponse reads one response with a Content-Length and reports whether its status is 200.
 func readResponse(r *bufio.Reader) (ok bool, err error) {
 	length := 0
 	for first := true; ; first = false {
@@ -124,15 +124,15 @@
 	}
 }
 
-// BenchmarkOverload sends requests of 50 ms to the runners of one data centre
-// through its three daemons, at a share of the runners' capacity, without
-// waiting for answers. Run it with -benchtime 1x.
+// BenchmarkOverload sends requests of 50 ms to the runners of one data centre through its
+// three daemons, at a fraction of the runners' capacity and without waiting for answers. Run
+// it with -benchtime 1x.
 func BenchmarkOverload(b *testing.B) {
 	for _, k := range []struct {
-		name  string
-		share float64
-		split []float64
-		noisy bool
+		name     string
+		fraction float64
+		split    []float64
+		noisy    bool
 	}{
 		{"95%", 0.95, []float64{1. / 3, 1. / 3, 1. / 3}, false},
 		{"130%", 1.3, []float64{1. / 3, 1. / 3, 1. / 3}, false},
@@ -140,16 +140,16 @@
 		{"130%-60-30-10", 1.3, []float64{0.6, 0.3, 0.1}, false},
 		{"130%-one-customer-tenfold", 1.3, []float64{1. / 3, 1. / 3, 1. / 3}, true},
 	} {
-		b.Run(k.name, func(b *testing.B) { measureOverload(b, k.share, k.split, k.noisy) })
+		b.Run(k.name, func(b *testing.B) { measureOverload(b, k.fraction, k.split, k.noisy) })
 	}
 }
 
-func measureOverload(b *testing.B, share float64, split []float64, noisy bool) {
+func measureOverload(b *testing.B, fraction float64, split []float64, noisy bool) {
 	const (
 		work     = 50 * time.Millisecond
 		deadline = 500 * time.Millisecond
 		span     = 8 * time.Second
-		warm     = 2 * time.Second
+		warmUp   = 2 * time.Second
 	)
 	d := startDeployment(b, 3, "")
 	d.apply(b, "stoisk")
@@ -157,11 +157,11 @@
 	capacity := float64(runners*8) / work.Seconds()
 	random := rand.New(rand.NewPCG(3, 5))
 	var mutex sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var group sync.WaitGroup
 	answered, quiet, quietAnswered, unknown := 0, 0, 0, 0
 	began := time.Now()
-	for next := time.Duration(0); next < span; next += time.Duration(random.ExpFloat64() / (share * capacity) * float64(time.Second)) {
+	for next := time.Duration(0); next < span; next += time.Duration(random.ExpFloat64() / (fraction * capacity) * float64(time.Second)) {
 		time.Sleep(next - time.Since(began))
 		customer := mothferry.CustomerID(fmt.Sprint("quiet-", random.IntN(9)))
 		if random.Float64()*19 > 9 && noisy || !noisy && random.IntN(10) == 0 {
@@ -172,7 +172,7 @@
 			part -= split[host]
 			host++
 		}
-		counted := next > warm
+		counted := next > warmUp
 		if counted && customer != "noisy" {
 			quiet++
 		}
@@ -187,7 +187,7 @@
 			switch {
 			case r.end == mothferry.EndAnswered && time.Since(start) <= deadline:
 				answered++
-				took = append(took, time.Since(start))
+				latencies = append(latencies, time.Since(start))
 				if customer != "noisy" {
 					quietAnswered++
 				}
@@ -197,7 +197,7 @@
 		})
 	}
 	group.Wait()
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
 	refused, mostInFlight, mostConnections, ran := 0, 0, 0, 0
 	for _, r := range getStandin[[]mfstandin.RunnerStatus](b, d, "runners") {
 		if r.Service == "payments" && r.Ran > 0 {
@@ -205,9 +205,9 @@
 			mostInFlight, mostConnections = max(mostInFlight, r.MaxInFlight), max(mostConnections, r.MaxConnections)
 		}
 	}
-	b.ReportMetric(float64(answered)/(capacity*min(share, 1)*(span-warm).Seconds()), "goodput")
-	b.ReportMetric(float64(took[len(took)/2].Milliseconds()), "p50-ms")
-	b.ReportMetric(float64(took[len(took)*99/100].Milliseconds()), "p99-ms")
+	b.ReportMetric(float64(answered)/(capacity*min(fraction, 1)*(span-warmUp).Seconds()), "goodput")
+	b.ReportMetric(float64(latencies[len(latencies)/2].Milliseconds()), "p50-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Milliseconds()), "p99-ms")
 	b.ReportMetric(float64(refused)/float64(ran), "refusals/request")
 	b.ReportMetric(float64(quietAnswered)/float64(quiet), "quiet-answered")
 	b.ReportMetric(float64(unknown), "unknown")
--- a/mfprocess/pool_test.go
+++ b/mfprocess/pool_test.go
@@ -14,15 +14,15 @@
 	"mothferry/mfstandin"
 )
 
-// TestPoolMove moves a host between pools under load while two operators ask
-// for different pools, the request is repeated, the holder is killed and the
-// table loses replies. No request is cut off, the host ends in the pool of the
-// operator who was first, and nothing of the old pool is left there.
+// TestPoolMove moves a host between pools under load while two operators ask for different
+// pools, the request is repeated, the holder is killed and the table loses replies. No request
+// is cut off, the host ends in the pool of the first operator, and no runner of the old pool
+// is left on it.
 func TestPoolMove(t *testing.T) {
 	d := startDeploymentWith(t, 3, "", "--hosts", "8", "--pools", "general,spare,third")
 	d.apply(t, "stoisk")
-	near := d.processes[:3]
-	victim := placedRunners(t, near[0], "stands")[0].Host
+	local := d.processes[:3]
+	victim := placedRunners(t, local[0], "stands")[0].Host
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	for w := range 8 {
@@ -34,25 +34,25 @@
 			}
 		})
 	}
-	_, err := near[0].operator.Move(t.Context(), "dc1", victim, "spare", "ann")
+	_, err := local[0].operator.Move(t.Context(), "dc1", victim, "spare", "ann")
 	assert.NilError(t, err)
-	_, err = near[1].operator.Move(t.Context(), "dc1", victim, "third", "ben")
+	_, err = local[1].operator.Move(t.Context(), "dc1", victim, "third", "ben")
 	assert.ErrorContains(t, err, "already moving to pool spare, as ann asked")
 	d.setStandin(t, "faults", mfstandin.Faults{LoseReplies: 6})
-	old := shardHolder(t, near)
+	old := shardHolder(t, local)
 	if old != nil {
 		old.kill(t)
 	}
 	var rest []*process
-	for _, p := range near {
+	for _, p := range local {
 		if p != old {
 			rest = append(rest, p)
 		}
 	}
 	_, _ = rest[0].operator.Move(t.Context(), "dc1", victim, "spare", "ann")
 	if old != nil {
-		// Until the killed daemon is heard again, runners that leave wait for
-		// the longest deadline that its requests could have had.
+		// Until heartbeats of the killed daemon arrive again, leaving runners wait for the
+		// longest deadline that its requests could have had.
 		d.startDaemon(t, old)
 	}
 	var record mfhost.Record
--- a/mfprocess/shardholder_test.go
+++ b/mfprocess/shardholder_test.go
@@ -9,8 +9,7 @@
 	"mothferry"
 )
 
-// shardHolder returns the daemon of the first data centre that holds its shard
-// among the given ones, and nil if none does.
+// shardHolder returns the first of the given daemons that holds a shard, nil if none does.
 func shardHolder(t testing.TB, processes []*process) *process {
 	t.Helper()
 	for _, p := range processes {
@@ -21,19 +20,18 @@
 	return nil
 }
 
-// TestShardHolderCrash kills the daemon that holds a data centre's shard. Another
-// one takes it over with a later epoch and goes on: a runner that died
-// meanwhile is replaced.
+// TestShardHolderCrash kills the daemon that holds a data centre's shard. Another one takes
+// the shard over with a later epoch and replaces a runner that died meanwhile.
 func TestShardHolderCrash(t *testing.T) {
 	d := startDeployment(t, 3, "")
 	d.apply(t, "kelani")
-	near := d.processes[:3]
-	old := shardHolder(t, near)
+	local := d.processes[:3]
+	old := shardHolder(t, local)
 	assert.Assert(t, old != nil)
 	old.kill(t)
 	began := time.Now()
 	var rest []*process
-	for _, p := range near {
+	for _, p := range local {
 		if p != old {
 			rest = append(rest, p)
 		}
