--- a/mfreport/counts.go
+++ b/mfreport/counts.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// Counts are jobs that were handed in, by outcome, and jobs that ended, by end.
+// Counts are numbers of submitted jobs by outcome, and of ended jobs by end.
 type Counts struct {
 	Submitted    int64 `json:"asked"`
 	Accepted     int64 `json:"accepted"`
@@ -22,7 +22,7 @@
 	OtherEnds int64 `json:"other_ends"`
 }
 
-// Refused returns how many were refused, for any reason.
+// Refused returns the number of refused jobs, for any reason.
 func (c *Counts) Refused() int64 {
 	return c.RefusedShare + c.RefusedLimit + c.RefusedQueue + c.RefusedStore
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// compareCounts puts the most refused first, then the most asked.
+// compareCounts orders by most refused jobs, then by most submitted.
 func compareCounts(a, b Counts) int {
 	return cmp.Or(cmp.Compare(b.Refused(), a.Refused()), cmp.Compare(b.Submitted, a.Submitted))
 }
--- a/mfreport/fetch.go
+++ b/mfreport/fetch.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxMetricsBytes bounds what is read of one host's metrics.
+	// maxMetricsBytes bounds the size of one host's metrics.
 	maxMetricsBytes = 16 << 20
-	// maxParallelFetches bounds how many hosts are asked at a time.
+	// maxParallelFetches bounds how many hosts are read at the same time.
 	maxParallelFetches = 32
 )
 
-// Address is where a host serves its metrics: HOST:PORT, or a whole URL.
+// Address is where a host serves its metrics: HOST:PORT, or a URL.
 type Address string
 
 // url returns the URL of the metrics.
@@ -31,19 +31,19 @@
 	return "http://" + string(a) + "/metrics"
 }
 
-// Host is one host that answered.
+// Host is a host that answered, with its metrics.
 type Host struct {
 	Address Address
 	Metrics Metrics
 }
 
-// MissingHost is a host whose metrics could not be had, and why.
+// MissingHost is a host whose metrics could not be read, and why.
 type MissingHost struct {
 	Host   Address `json:"host"`
 	Reason string  `json:"reason"`
 }
 
-// ErrNoHostAnswered reports that no host told its metrics.
+// ErrNoHostAnswered reports that no host's metrics could be read.
 type ErrNoHostAnswered struct{ Missing []MissingHost }
 
 // Error implements error.
@@ -52,18 +52,18 @@
 	for _, m := range e.Missing {
 		each = append(each, fmt.Sprintf("%s: %s", m.Host, m.Reason))
 	}
-	return "no host told its metrics: " + strings.Join(each, "; ")
+	return "no host's metrics could be read: " + strings.Join(each, "; ")
 }
 
 // Fetcher reads hosts' metrics.
 type Fetcher struct {
 	HTTP *http.Client
-	// Timeout bounds one host's whole answer.
+	// Timeout bounds the complete response of one host.
 	Timeout time.Duration
 }
 
-// Fetch asks all hosts and returns those that answered, in the order given, and
-// those that did not. Its error is an *ErrNoHost.
+// Fetch reads the metrics of all hosts. It returns the hosts that answered, in the order
+// given, and those that did not; if none did, its error is an *ErrNoHostAnswered.
 func (f *Fetcher) Fetch(ctx context.Context, addresses []Address) ([]Host, []MissingHost, error) {
 	metrics, failures := make([]Metrics, len(addresses)), make([]error, len(addresses))
 	var group errgroup.Group
--- a/mfreport/fetch_test.go
+++ b/mfreport/fetch_test.go
@@ -22,8 +22,8 @@
 	return Address(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// A host that hangs, one that is gone, one with bad metrics and one that sends
-// without end keep the others' figures from the operator.
+// Hosts that hang, refuse connections, serve no metrics or send without end are reported as
+// missing. They don't keep the other hosts' metrics from the report.
 func TestFailedHostsAreReported(t *testing.T) {
 	over := make(chan struct{})
 	good := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 		_ = http.NewResponseController(w).Flush()
 		<-over
 	})
-	// Servers close after all that is registered later, so that the handler has ended.
+	// Cleanups run in reverse order: the handler ends before its server is closed.
 	t.Cleanup(func() { close(over) })
 	page := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "<html>\n") })
 	absent := serve(t, http.NotFound)
@@ -70,7 +70,8 @@
 	assert.Equal(t, none.Missing[0].Host, gone)
 }
 
-// A label with quotes, or an answer that the library compresses, is read as something else.
+// Labels with quotes, compressed responses, counters, gauges and histograms as the Prometheus
+// handler serves them are read correctly.
 func TestFetchReadsPrometheusHandler(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	handed := prometheus.NewCounterVec(prometheus.CounterOpts{Name: string(metricSubmitted), Help: "h"}, []string{"queue", "account", "outcome"})
--- a/mfreport/metrics.go
+++ b/mfreport/metrics.go
@@ -13,10 +13,10 @@
 	"github.com/prometheus/common/model"
 )
 
-// familyName names a family that a report is made from.
+// familyName is the name of a metric family that reports use.
 type familyName string
 
-// Families of each host.
+// Metric families of each host.
 const (
 	metricSubmitted familyName = "mothferry_handed_in_total"
 	metricForwarded familyName = "mothferry_calls_forwarded_total"
@@ -26,7 +26,7 @@
 	metricRequests  familyName = "mothferry_job_request_seconds"
 )
 
-// Families of the shard's owner.
+// Metric families of the shard's owner.
 const (
 	metricJobs       familyName = "mothferry_account_jobs_total"
 	metricShare      familyName = "mothferry_account_share_cores"
@@ -38,15 +38,15 @@
 	metricBinding    familyName = "mothferry_pool_binding"
 )
 
-// Family is a family of metrics that a report is made from.
+// Family is a metric family that reports use.
 type Family struct {
 	Name   string
 	Labels []string
-	// Counter says that it only grows while a host lives; else it is a gauge.
+	// Counter marks a family that only grows until its host restarts; the others are gauges.
 	Counter bool
 }
 
-// Families returns all families that a report is made from.
+// Families returns all metric families that reports use.
 func Families() []Family {
 	return []Family{
 		{Name: string(metricSubmitted), Labels: []string{"queue", "account", "outcome"}, Counter: true},
@@ -66,16 +66,16 @@
 	}
 }
 
-// maxDetailBytes bounds what an error repeats of a text, in bytes.
+// maxDetailBytes bounds how much of a parser's message an error repeats.
 const maxDetailBytes = 200
 
-// sample is one value with its labels. A label that is missing reads as empty.
+// sample is one value with its labels. A missing label reads as empty.
 type sample struct {
 	labels map[string]string
 	value  float64
 }
 
-// key tells samples of a family apart.
+// key identifies a sample within its family.
 func (s sample) key() string {
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.labels)) {
@@ -84,12 +84,13 @@
 	return out.String()
 }
 
-// Metrics are the families of one host that a report is made from.
+// Metrics are one host's samples by family.
 type Metrics map[familyName][]sample
 
-// ErrBadMetrics reports a text that is not metrics, or has a value that can't be counted.
+// ErrBadMetrics reports text that is not in the Prometheus format, or a value that is not a
+// finite number of 0 or more.
 type ErrBadMetrics struct {
-	// Metric is empty if the text as a whole can't be read.
+	// Metric is empty if the text as a whole cannot be parsed.
 	Metric string
 	Detail string
 }
@@ -102,7 +103,7 @@
 	return fmt.Sprintf("metric %s: %s", e.Metric, e.Detail)
 }
 
-// Parse reads metrics in Prometheus's text form. Its error is an *ErrBadMetrics.
+// Parse reads metrics in the Prometheus text format. Its error is an *ErrBadMetrics.
 func Parse(r io.Reader) (Metrics, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(r)
@@ -126,8 +127,8 @@
 	return m, nil
 }
 
-// valueOf returns a metric's value, whatever its type is declared as. That of a
-// histogram is its count.
+// valueOf returns a metric's value, whatever its declared type; that of a histogram or summary
+// is its sample count.
 func valueOf(m *dto.Metric) float64 {
 	switch {
 	case m.GetCounter() != nil:
@@ -143,9 +144,8 @@
 	}
 }
 
-// Delta returns the metrics with counters less what they were before. A counter
-// that is smaller than before belongs to a host that started again in between and
-// stands as it is.
+// Delta returns the metrics with counters reduced by their earlier values. A counter that is
+// smaller than before was reset by a restart of its host and is kept as it is.
 func (m Metrics) Delta(before Metrics) Metrics {
 	out := maps.Clone(m)
 	for _, f := range Families() {
--- a/mfreport/report.go
+++ b/mfreport/report.go
@@ -1,6 +1,5 @@
-// Package mfreport makes a report for operators from the metrics that hosts
-// serve: who was refused and why, how the pools stand, which workers are slow, and
-// where calls went.
+// Package mfreport builds a report for operators from the hosts' metrics: who was refused and
+// why, the sizes of pools, slow workers, and where calls were executed.
 package mfreport
 
 import (
@@ -10,37 +9,37 @@
 	"mothferry"
 )
 
-// Account is one client account's jobs, over all queues.
+// Account counts one client account's jobs over all queues.
 type Account struct {
 	Account mothferry.AccountID `json:"account"`
 	Counts
-	// Share is what the account is due, over all services; nil if no owner told it.
+	// Share is the account's fair share over all services; nil if no owner published it.
 	Share *mothferry.Millicores `json:"share_millicores"`
-	// Used is what its tasks take; nil if no owner told it.
+	// Used is how many cores its tasks hold; nil if no owner published it.
 	Used *mothferry.Millicores `json:"used_millicores"`
 }
 
-// Queue is one client account's jobs of one queue.
+// Queue counts one client account's jobs in one queue.
 type Queue struct {
 	Queue   mothferry.QueueID   `json:"queue"`
 	Account mothferry.AccountID `json:"account"`
 	Counts
 }
 
-// Share is what an account is due of a service's pool.
+// Share is an account's fair share of a service's pool.
 type Share struct {
 	Service mothferry.ServiceID  `json:"service"`
 	Account mothferry.AccountID  `json:"account"`
 	Share   mothferry.Millicores `json:"share_millicores"`
 }
 
-// Pool is a service's machines.
+// Pool counts a service's machines.
 type Pool struct {
 	Service mothferry.ServiceID `json:"service"`
 	Present int64               `json:"present"`
 	Needed  int64               `json:"needed"`
 	Target  int64               `json:"target"`
-	// Binding is the resource that the pool has least of; empty if none is told.
+	// Binding is the binding resource of the pool; empty if none is reported.
 	Binding string `json:"binding"`
 	Slow    int64  `json:"slow_workers"`
 }
@@ -49,20 +48,20 @@
 type Worker struct {
 	Service mothferry.ServiceID `json:"service"`
 	Worker  mothferry.WorkerID  `json:"worker"`
-	// Speed is a part of the usual worker's.
+	// Speed is a fraction of a normal worker's.
 	Speed float64 `json:"speed"`
 }
 
-// Calls are callers' requests of one kind, by where they went.
+// Calls counts callers' requests of one kind by where they were executed.
 type Calls struct {
 	Kind     string `json:"kind"`
 	Answered int64  `json:"answered"`
-	// Unserved are those answered with a status of 500 or more.
+	// Unserved counts those answered with a status of 500 or more.
 	Unserved int64 `json:"unserved"`
-	// Local are those answered without a peer.
+	// Local counts those answered without a peer.
 	Local int64 `json:"own"`
-	// Forwarded and Carried count by outcome: calls passed on to peers, and those
-	// that peers passed on to these hosts.
+	// Forwarded and Carried count, by outcome, the calls forwarded to peers and those that
+	// peers forwarded to these hosts.
 	Forwarded map[string]int64 `json:"forwarded"`
 	Carried   map[string]int64 `json:"carried"`
 }
@@ -73,29 +72,29 @@
 	LeftOut int `json:"left_out"`
 }
 
-// Report is what hosts' metrics tell together. Counters run from each host's
-// start, unless they were taken since an earlier reading.
+// Report summarizes the hosts' metrics. Counters run from each host's start, unless they are
+// differences to an earlier reading.
 type Report struct {
 	Answered int           `json:"hosts_answered"`
 	Missing  []MissingHost `json:"hosts_missing"`
-	// Owners are the hosts that say that they own the shard. More than one is a
-	// change of owner under way: what an owner tells is the first one's then.
+	// Owners are the hosts that report that they own the shard. More than one means that the
+	// owner is changing; the owner's metrics are then taken from the first one.
 	Owners []Address `json:"owners"`
 	// NotServedByStore are the hosts that the store does not serve.
 	NotServedByStore []Address `json:"turned_away"`
 	Total            Counts    `json:"total"`
-	// Accounts and Queues have the most refused first.
+	// Accounts and Queues are ordered by most refused jobs.
 	Accounts Rows[Account] `json:"accounts"`
 	Queues   Rows[Queue]   `json:"queues"`
 	Shares   Rows[Share]   `json:"shares"`
-	// Pools have those first that lack the most machines.
+	// Pools are ordered by most missing machines.
 	Pools      Rows[Pool]       `json:"pools"`
 	Workers    Rows[Worker]     `json:"slow_workers"`
 	Stragglers map[string]int64 `json:"stragglers"`
 	Calls      []Calls          `json:"calls"`
 }
 
-// New makes the report of the hosts that answered. Each table has at most top rows.
+// New builds the report of the hosts that answered. Each table has at most top rows.
 func New(hosts []Host, missing []MissingHost, top int) Report {
 	r := Report{
 		Answered: len(hosts), Missing: append([]MissingHost{}, missing...), Owners: []Address{}, NotServedByStore: []Address{},
--- a/mfreport/report_test.go
+++ b/mfreport/report_test.go
@@ -106,7 +106,8 @@
 	assert.DeepEqual(t, r.Calls[1].Carried, map[string]int64{"done": 6})
 }
 
-// A former owner goes on telling the shares that it last worked out.
+// A previous owner keeps publishing the shares that it last computed; only the current owner's
+// count.
 func TestOnlyOwnerGaugesCount(t *testing.T) {
 	r := reportOf(t, 10, peerMetrics, ownerMetrics)
 	for _, a := range r.Accounts.Rows {
@@ -124,7 +125,7 @@
 	assert.Equal(t, len(r.Shares.Rows), 3)
 }
 
-// A host of another version leaves labels out or has outcomes that are not known.
+// Hosts of another version may leave labels out or have unknown outcomes.
 func TestMissingLabels(t *testing.T) {
 	r := reportOf(t, 10, `
 mothferry_handed_in_total{outcome="accepted"} 3
@@ -144,7 +145,7 @@
 	assert.Assert(t, strings.Contains(out.String(), "\n-  "), out.String())
 }
 
-// Some hundreds of accounts would fill an operator's screen and hide the refused.
+// With hundreds of accounts, the tables show the most refused ones and count the rest.
 func TestReportRowsAreLimited(t *testing.T) {
 	var text strings.Builder
 	for k := range 230 {
@@ -163,7 +164,7 @@
 	assert.Equal(t, strings.Count(out.String(), "\n"), 11)
 }
 
-// A label with control characters would rewrite an operator's terminal.
+// Control characters in a label must not reach an operator's terminal.
 func TestTableEscapesControlCharacters(t *testing.T) {
 	r := reportOf(t, 5, `mothferry_handed_in_total{queue="q\n`+"\x1b[2J\t"+`r",account="a",outcome="accepted"} 1`+"\n")
 	var out strings.Builder
@@ -172,7 +173,7 @@
 	assert.Assert(t, !strings.Contains(out.String(), "\t"), out.String())
 }
 
-// A proxy's error page, a text cut short or a value that is no number counts as metrics.
+// A proxy's error page, truncated text and values that cannot be counted are rejected.
 func TestInvalidMetricsAreRejected(t *testing.T) {
 	for _, k := range []struct{ text, says string }{
 		{"<html>no such page</html>\n", "metrics can't be read"},
@@ -193,7 +194,7 @@
 	assert.Equal(t, len(m), 1)
 }
 
-// A host that starts again between two readings makes counts below zero.
+// A host that restarts between two readings must not lead to negative counts.
 func TestCounterDeltas(t *testing.T) {
 	before := parseMetrics(t, "mothferry_handed_in_total{queue=\"q\",account=\"a\",outcome=\"accepted\"} 10\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 10\n")
 	after := parseMetrics(t, "mothferry_handed_in_total{account=\"a\",queue=\"q\",outcome=\"accepted\"} 14\nmothferry_handed_in_total{queue=\"q\",account=\"b\",outcome=\"accepted\"} 3\nmothferry_owning 1\n")
@@ -203,7 +204,7 @@
 	assert.Equal(t, len(r.Owners), 1)
 }
 
-// Jobs get lost between the outcomes that are told and those that were counted.
+// The outcomes of each report add up to all submitted jobs.
 func TestOutcomesSumToSubmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		samples := rapid.SliceOf(rapid.Custom(func(t *rapid.T) sample {
--- a/mfreport/sum.go
+++ b/mfreport/sum.go
@@ -10,13 +10,13 @@
 )
 
 func queuesOf(hosts []Host) []Queue {
-	type lane struct {
+	type queueKey struct {
 		queue   mothferry.QueueID
 		account mothferry.AccountID
 	}
-	found := map[lane]*Queue{}
+	found := map[queueKey]*Queue{}
 	at := func(s sample) *Queue {
-		l := lane{queue: mothferry.QueueID(s.labels["queue"]), account: mothferry.AccountID(s.labels["account"])}
+		l := queueKey{queue: mothferry.QueueID(s.labels["queue"]), account: mothferry.AccountID(s.labels["account"])}
 		if found[l] == nil {
 			found[l] = &Queue{Queue: l.queue, Account: l.account}
 		}
@@ -63,7 +63,7 @@
 	return rows
 }
 
-// addCores adds cores to an amount that may not have been told before.
+// addCores adds cores to an amount, which is nil if none was published before.
 func addCores(m *mothferry.Millicores, cores float64) *mothferry.Millicores {
 	total := millicores(cores)
 	if m != nil {
@@ -128,7 +128,7 @@
 	return rows
 }
 
-// unexecutedOutcomes are outcomes of calls that no peer carried out.
+// unexecutedOutcomes are the outcomes of forwarded calls that no peer executed.
 var unexecutedOutcomes = []string{"no_peer", "limit"}
 
 func callsOf(hosts []Host) []Calls {
@@ -168,7 +168,8 @@
 	return rows
 }
 
-// isServerError reports whether a status, which metrics hold as its text, is one of 500 or more.
+// isServerError reports whether a status text, as the metrics hold it, is that of a status of
+// 500 or more.
 func isServerError(status string) bool {
 	for code := http.StatusInternalServerError; code < 600; code++ {
 		if text := http.StatusText(code); text != "" && text == status {
--- a/mfreport/table.go
+++ b/mfreport/table.go
@@ -14,7 +14,7 @@
 	"mothferry"
 )
 
-// Section names one part of a report's text.
+// Section names one table of a report.
 type Section string
 
 // Sections of a report.
@@ -27,12 +27,13 @@
 	SectionCalls    Section = "calls"
 )
 
-// AllSections returns the sections in the order in which they are written.
+// AllSections returns the sections in the order of the output.
 func AllSections() []Section {
 	return []Section{SectionAccounts, SectionQueues, SectionShares, SectionPools, SectionWorkers, SectionCalls}
 }
 
-// WithSections returns the report with just these sections' rows; the hosts and the total stay.
+// WithSections returns the report with the rows of these sections only; the hosts and the
+// total stay.
 func (r Report) WithSections(sections []Section) Report {
 	if !slices.Contains(sections, SectionAccounts) {
 		r.Accounts = Rows[Account]{Rows: []Account{}}
@@ -55,7 +56,7 @@
 	return r
 }
 
-// WriteText writes sections as tables for people, after a line on the hosts.
+// WriteText writes sections as tables for people, after lines on the hosts.
 func (r Report) WriteText(out io.Writer, sections []Section) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	r.writeHosts(w)
@@ -96,7 +97,7 @@
 	}
 }
 
-// countsHeader and its rows have the same columns.
+// countsHeader has the columns of countsRow.
 const countsHeader = "ASKED\tACCEPTED\tREF. SHARE\tREF. LIMIT\tREF. QUEUE\tREF. STORE\tUNKNOWN\tIN TIME\tLATE\tTOO LATE\tFAILED\tCANCELLED\tOTHER"
 
 func countsRow(c Counts) string {
@@ -165,7 +166,7 @@
 	}
 }
 
-// cell writes a name; a dash stands for none.
+// cell formats a name, an empty one as a dash.
 func cell[S ~string](name S) string {
 	if name == "" {
 		return "-"
@@ -173,7 +174,8 @@
 	return printable(string(name))
 }
 
-// printable keeps names and errors of other hosts from breaking a table.
+// printable replaces unprintable characters, so that names and errors of other hosts cannot
+// break a table.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if !strconv.IsPrint(r) {
--- a/mfstory/explain.go
+++ b/mfstory/explain.go
@@ -7,7 +7,7 @@
 	"mothferry"
 )
 
-// Messages that a story is told from.
+// Log messages that an explanation is made from.
 const (
 	messageRefused     = "job is refused, it would be of no use"
 	messageSubmitted   = "job is handed in"
@@ -21,8 +21,8 @@
 	messageForwarded   = "call is passed on to a peer"
 )
 
-// Explain says in words what a job's story, in the order of time, tells of refusals,
-// slow workers, copies and calls passed on. It is empty for a job that had none.
+// Explain describes the refusals, stragglers, speculative copies and forwarded calls in a
+// job's lines, which must be in the order of time. It returns nil for a job that had none.
 func Explain(job mothferry.JobID, story []Line) []string {
 	t := explainer{slowWorkers: map[string]Line{}, copies: map[string]Line{}}
 	for i, l := range story {
@@ -34,12 +34,12 @@
 	return append(t.lines, t.outcome)
 }
 
-// explainer goes through a story.
+// explainer builds the explanation line by line.
 type explainer struct {
 	lines []string
-	// slowWorkers has the last line on each worker that counts as slow.
+	// slowWorkers holds the last line on each worker that counts as slow.
 	slowWorkers map[string]Line
-	// copies are those started, by run and place of their task.
+	// copies holds the lines on started copies, by run and task.
 	copies   map[string]Line
 	refusals int
 	outcome  string
@@ -85,7 +85,8 @@
 	}
 }
 
-// addRefusal tells of one refusal: whose, why, and what its caller was told.
+// addRefusal explains one refusal: the account, the reason, the estimates and the reply to the
+// caller.
 func (t *explainer) addRefusal(l Line) {
 	t.refusals++
 	t.addLine(l, "Refused at %s (refusal %d in these logs): a job of account %s in queue %s.", l.fieldText("daemon"), t.refusals, l.fieldText("account"), l.fieldText("queue"))
@@ -97,7 +98,7 @@
 	t.outcome = "No line tells that it was accepted after its last refusal."
 }
 
-// describeRefusal returns what a refusal's reason means.
+// describeRefusal explains a refusal's reason.
 func describeRefusal(l Line) string {
 	switch l.fieldText("reason") {
 	case "limit":
@@ -139,7 +140,7 @@
 		l.fieldText("daemon"), l.fieldText("kind"), l.fieldText("peer"), formatMilliseconds(l, "took_ms"), describeForward(outcome))
 }
 
-// addCopyStopped tells which of two runs of a task was stopped, and whose end counts.
+// addCopyStopped explains which of a task's two runs was stopped, and whose end counts.
 func (t *explainer) addCopyStopped(l Line) {
 	var of string
 	for name := range t.copies {
@@ -155,7 +156,7 @@
 	t.addLine(l, "Run %s on worker %s was stopped beside a copy: %s. Its end doesn't count: the copy's does.", l.fieldText("run"), l.fieldText("worker"), l.fieldText("why"))
 }
 
-// describeSpeed says how a worker compares, as last logged.
+// describeSpeed describes a worker's speed as last logged.
 func (t *explainer) describeSpeed(worker string) string {
 	l, found := t.slowWorkers[worker]
 	if !found {
@@ -167,7 +168,7 @@
 	return fmt.Sprintf("which counts as slow since %s, at %s of the usual speed", l.formattedTime(), l.fieldText("speed"))
 }
 
-// describeEstimates says what the owner compared, if the line has it.
+// describeEstimates describes the estimates that the owner compared, if the line has them.
 func describeEstimates(l Line) string {
 	if _, found := l.fieldNumber("here_ms"); !found {
 		return ""
@@ -175,7 +176,7 @@
 	return fmt.Sprintf(", where the rest would have taken %s against %s elsewhere,", formatMilliseconds(l, "here_ms"), formatMilliseconds(l, "there_ms"))
 }
 
-// describeOriginal names the run that a copy was started beside, and its worker's speed.
+// describeOriginal names the worker of a copy's original run, with its speed if it is slow.
 func (t *explainer) describeOriginal(l Line) string {
 	beside := l.fieldText("beside")
 	if _, found := t.slowWorkers[beside]; found {
@@ -184,7 +185,7 @@
 	return beside
 }
 
-// describeRestart names where the owner placed tasks of the same step next.
+// describeRestart names the workers on which tasks of the same step were placed next.
 func describeRestart(behind Line, rest []Line) string {
 	for _, l := range rest {
 		if l.Message == messagePlaced && l.Fields["job"] == behind.Fields["job"] && l.fieldText("step") == behind.fieldText("step") {
@@ -199,7 +200,7 @@
 	return "step " + l.fieldText("step") + " index " + l.fieldText("index")
 }
 
-// describeForward returns what the outcome of a call that was to be passed on means.
+// describeForward explains the outcome of a forwarded call.
 func describeForward(outcome string) string {
 	switch outcome {
 	case "done":
--- a/mfstory/explain_test.go
+++ b/mfstory/explain_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// logLine returns a log line at a second; fields are written as JSON's inside.
+// logLine returns a log line; fields is the inside of a JSON object.
 func logLine(second int, daemon, message, fields string) string {
 	at := time.Date(2026, 1, 1, 0, 0, second, 0, time.UTC).Format(time.RFC3339)
 	text, err := json.Marshal(message)
@@ -33,7 +33,8 @@
 	}
 }
 
-// An operator sees that a job was refused, but not for whose work or until when.
+// A refusal is explained with its account, reason, estimates and retry delay, and with what
+// became of the job after it.
 func TestRefusalIsExplained(t *testing.T) {
 	refused := `"job":"j-1","queue":"quotes","account":"a-7","reason":"share","wait_ms":4177,"wait_age_ms":165,"chain_ms":538,"aim_ms":1460,"share_cores":12.5,"again_ms":3465,"owner":"host-c"`
 	text := explained(t,
@@ -49,13 +50,14 @@
 	assertContains(t, text, "the queue as a whole", "Handed in again at host-b and accepted", "The job is over: completed, 1234567 ms")
 }
 
-// Lines of a daemon of an earlier version lack the account and the reason.
+// Lines of a daemon of an earlier version lack the account and the reason of a refusal.
 func TestRefusalWithoutReasonIsExplained(t *testing.T) {
 	text := explained(t, logLine(1, "host-a", messageRefused, `"job":"j-1","queue":"quotes","wait_ms":4177`))
 	assertContains(t, text, "account ?", "has no reason", "come back after ? ms")
 }
 
-// A job is late by a worker that was found slow before the job came.
+// A straggler's restart is explained with its worker's speed, also if the worker was found
+// slow before the job was submitted.
 func TestStragglerRestartIsExplained(t *testing.T) {
 	text := explained(t,
 		logLine(1, "host-c", messageSlow, `"worker":"w-9","service":"s","speed":0.2`),
@@ -71,7 +73,8 @@
 		"next placed at 00:00:06.000, on w-5", "worker w-8, which does not count as slow in these logs. It was stopped there, where the rest would have taken 4000 ms against 900 ms elsewhere, and starts again", "The job is over: completed")
 }
 
-// Of two runs of one task an operator can't tell which one's end counted.
+// If a task has a speculative copy, the explanation says which of the two runs was stopped and
+// whose end counts.
 func TestCopyIsExplained(t *testing.T) {
 	started := []string{
 		logLine(1, "host-c", messagePlaced, `"job":"j-1","step":0,"workers":["w-1"]`),
@@ -86,7 +89,8 @@
 	assertContains(t, text, "The copy of task step 0 index 3 (run 2) on worker w-2 was stopped", "that of the run beside it does", "as its tasks stood still")
 }
 
-// A call that a peer took has its lines at a host that its caller never asked.
+// A forwarded call has lines at a host that its caller never asked. The explanation names the
+// peer and the outcome.
 func TestForwardedCallIsExplained(t *testing.T) {
 	text := explained(t,
 		logLine(1, "host-a", messageForwarded, `"job":"j-1","peer":"host-b","kind":"accept","outcome":"unknown","took_ms":400`),
@@ -104,7 +108,7 @@
 	assert.Equal(t, text, "")
 }
 
-// A long story from many daemons is told in the order of the files.
+// Logs of several daemons are given file by file; the explanation is in the order of time.
 func TestExplanationIsOrderedByTime(t *testing.T) {
 	text := explained(t,
 		logLine(9, "host-c", messageFinished, `"job":"j-1","state":"failed","age_ms":5`),
--- a/mfstory/line.go
+++ b/mfstory/line.go
@@ -1,5 +1,5 @@
-// Package mfstory finds in the daemons' logs what bears on one job, and says in
-// words why it was refused, started again elsewhere or passed on to a peer.
+// Package mfstory selects the lines of the daemons' logs that concern one job, and explains
+// from them why it was refused, restarted elsewhere or forwarded to a peer.
 package mfstory
 
 import (
@@ -27,12 +27,12 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// timeLayout is how times are written for people; all are in UTC.
+// timeLayout is the format of times for people; all are in UTC.
 const timeLayout = "15:04:05.000"
 
 func (l Line) formattedTime() string { return l.Time.UTC().Format(timeLayout) }
 
-// String returns the line for people: time, daemon, message and the rest.
+// String formats the line for people: time, daemon, message and the other fields.
 func (l Line) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %-20v %s", l.formattedTime(), l.Fields["daemon"], l.Message)
@@ -49,7 +49,7 @@
 	return out.String()
 }
 
-// fieldText returns a field for people; one that the line lacks is "?".
+// fieldText formats a field for people: "?" if the line lacks it, "none" if it is empty.
 func (l Line) fieldText(field string) string {
 	value, found := l.Fields[field]
 	if !found || value == nil {
@@ -58,7 +58,8 @@
 	return cmp.Or(formatValue(value), "none")
 }
 
-// formatValue returns a field's value without an exponent, as ids of runs and times have none.
+// formatValue formats a field's value. Numbers have no exponent, since they are ids of runs or
+// times.
 func formatValue(value any) string {
 	if v, ok := value.(float64); ok {
 		return strconv.FormatFloat(v, 'f', -1, 64)
@@ -66,7 +67,7 @@
 	return fmt.Sprint(value)
 }
 
-// fieldNumber returns a field that holds a number.
+// fieldNumber returns the value of a numeric field.
 func (l Line) fieldNumber(field string) (float64, bool) {
 	v, ok := l.Fields[field].(float64)
 	return v, ok
@@ -75,8 +76,8 @@
 // maxLineBytes bounds one line of a log.
 const maxLineBytes = 1 << 20
 
-// Decode reads structured lines. Whatever stands before the first brace, as
-// a collector's prefix, and lines without one are passed over.
+// Decode reads structured log lines. It skips what stands before a line's first brace, such as
+// a collector's prefix, and lines without JSON or message.
 func Decode(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -91,12 +92,14 @@
 	return lines, trace.Wrap(scanner.Err())
 }
 
-// ownershipMessages holds the messages on who owns the shard, which decide about every job.
+// ownershipMessages are the log messages on changes of the shard's owner. They concern every
+// job, since the owner decides about all of them.
 var ownershipMessages = []string{"shard is taken over", "shard is lost", "shard is given up"}
 
-// JobLines returns the lines that bear on a job, in the order of time: those that name
-// it; those on its workers and on the shard's ownership while it was there; and
-// from before, the last line on the speed of each of its workers, if that was slow.
+// JobLines returns the lines that concern a job, in the order of time: those that name it;
+// those that name no job but one of its workers, or a change of the shard's owner, between its
+// first and last line; and, for each of its workers that was slow before the first, the last
+// line on its speed.
 func JobLines(job mothferry.JobID, lines []Line) []Line {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -114,15 +117,15 @@
 			workers[w] = true
 		}
 	}
-	var story []Line
+	var selected []Line
 	slow := map[string]Line{}
 	for _, l := range lines {
 		during := !l.Time.Before(from) && !l.Time.After(to)
-		_, other := l.Fields["job"]
+		_, hasJob := l.Fields["job"]
 		worker, _ := l.Fields["worker"].(string)
 		switch {
-		case l.Fields["job"] == string(job), during && !other && (workers[worker] || slices.Contains(ownershipMessages, l.Message)):
-			story = append(story, l)
+		case l.Fields["job"] == string(job), during && !hasJob && (workers[worker] || slices.Contains(ownershipMessages, l.Message)):
+			selected = append(selected, l)
 		case l.Time.Before(from) && workers[worker] && l.Message == messageSlow:
 			slow[worker] = l
 		case l.Time.Before(from) && l.Message == messageNotSlow:
@@ -132,7 +135,7 @@
 	before := slices.SortedFunc(maps.Values(slow), func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.fieldText("worker"), b.fieldText("worker")))
 	})
-	return append(before, story...)
+	return append(before, selected...)
 }
 
 func workersOf(l Line) []string {
