--- a/cmd/mothferry-standin/main.go
+++ b/cmd/mothferry-standin/main.go
@@ -1,5 +1,5 @@
-// Command mothferry-standin is the platform's stand-in, or a lone upstream
-// runner's, for tests and trials.
+// Command mothferry-standin serves a stand-in of the platform, or of a single upstream runner,
+// for tests and trials.
 package main
 
 import (
@@ -37,8 +37,8 @@
 		select {}
 	}
 	server, err := mfstandin.New(mfclock.System{}, mfstandin.Fleet{
-		DataCentres:  names[mothferry.DataCentre](*centres),
-		Pools:        names[mothferry.PoolID](*pools),
+		DataCentres:  splitNames[mothferry.DataCentre](*centres),
+		Pools:        splitNames[mothferry.PoolID](*pools),
 		HostsPerPool: *hosts, HostsPerRack: *rack,
 		Capacity: mothferry.Resources{Cores: mothferry.Millicores(*cores) * 1000, Memory: mothferry.Bytes(*memory) * mothferry.Gibibyte},
 	})
@@ -46,15 +46,15 @@
 		fail(err)
 	}
 	server.Workers.StartDelay = *delay
-	// Runners listen at the stand-in's own IP number, so that deployments beside
-	// each other on one machine never get one another's ports.
+	// Runners listen at the stand-in's own IP address, so that deployments that run in
+	// parallel on one machine never get one another's ports.
 	if server.Workers.Address, _, err = net.SplitHostPort(*listen); err != nil {
 		fail(err)
 	}
 	fail(http.Serve(listener, server.Handler()))
 }
 
-func names[T ~string](list string) []T {
+func splitNames[T ~string](list string) []T {
 	var out []T
 	for _, n := range strings.Split(list, ",") {
 		out = append(out, T(n))
--- a/cmd/mothferry/main.go
+++ b/cmd/mothferry/main.go
@@ -9,7 +9,6 @@
 	"mothferry/mfcommand"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
 func main() {
--- a/mfcommand/command.go
+++ b/mfcommand/command.go
@@ -1,5 +1,5 @@
-// Package mfcommand is mothferry's command line: a table of commands, their
-// flags, their output and their exit codes.
+// Package mfcommand implements mothferry's command line: its commands, their flags, output and
+// exit codes.
 package mfcommand
 
 import (
@@ -36,7 +36,8 @@
 // defaultOperator is used if neither the flag nor the variable is given.
 const defaultOperator = "http://127.0.0.1:7302"
 
-// Environment is what a command line runs in.
+// Environment is what a command uses of its process: streams, clock, randomness and
+// environment variables.
 type Environment struct {
 	In      io.Reader
 	Out     io.Writer
@@ -47,11 +48,11 @@
 	Version string
 }
 
-// command is one entry of the table.
+// command describes one command.
 type command struct {
 	name    string
 	aliases []string
-	// arguments names what follows the flags.
+	// arguments names the positional arguments.
 	arguments string
 	help      string
 	details   string
@@ -59,10 +60,10 @@
 	prepare func(e *Environment, flags *flag.FlagSet) runFunc
 }
 
-// runFunc runs a command with what follows its flags.
+// runFunc runs a command with its positional arguments.
 type runFunc func(ctx context.Context, arguments []string) error
 
-// errUsage reports a command line that cannot be run.
+// errUsage reports an invalid command line.
 type errUsage struct{ detail string }
 
 // Error implements error.
@@ -205,7 +206,7 @@
 	var invalid *mfyaml.ErrInvalid
 	var unreachable *mfoperate.ErrUnreachable
 	var refused *mfoperate.ErrRefused
-	var silent *mfreport.ErrNoHostAnswered
+	var noHost *mfreport.ErrNoHostAnswered
 	switch {
 	case err == nil:
 		return exitOK
@@ -215,14 +216,14 @@
 		return exitConflict
 	case errors.As(err, &invalid):
 		return exitInvalid
-	case errors.As(err, &unreachable), errors.As(err, &silent), errors.As(err, &refused) && refused.Kind == mfoperate.KindUnavailable:
+	case errors.As(err, &unreachable), errors.As(err, &noHost), errors.As(err, &refused) && refused.Kind == mfoperate.KindUnavailable:
 		return exitNoReply
 	default:
 		return exitFailed
 	}
 }
 
-// printError prints an error and what to do about it.
+// printError prints an error and how to proceed.
 func printError(e *Environment, c command, err error) {
 	var usage *errUsage
 	var conflict *mothferry.ErrDocumentConflict
@@ -237,8 +238,7 @@
 	}
 }
 
-// message returns the innermost typed error's text, without the trace that
-// errors gather on their way.
+// message returns the text of the innermost typed error, without the errors that wrap it.
 func message(err error) string {
 	var invalid *mfyaml.ErrInvalid
 	var unreachable *mfoperate.ErrUnreachable
@@ -258,18 +258,18 @@
 // operatorFlag declares the flag for a daemon's operators' address.
 func operatorFlag(e *Environment, flags *flag.FlagSet) *string {
 	address := defaultOperator
-	if own := e.Getenv(operatorVariable); own != "" {
-		address = own
+	if value := e.Getenv(operatorVariable); value != "" {
+		address = value
 	}
 	return flags.String("operator", address, "operators' address of a daemon; "+operatorVariable+" sets the default")
 }
 
-// outputFlag declares the flag for the form of the output.
+// outputFlag declares the flag for the output format.
 func outputFlag(flags *flag.FlagSet) *string {
 	return flags.String("output", outputText, "form of the output: text or json")
 }
 
-// Forms of output.
+// Output formats.
 const (
 	outputText = "text"
 	outputJSON = "json"
@@ -289,7 +289,7 @@
 	return &mfoperate.Client{URL: strings.TrimSuffix(address, "/"), HTTP: &http.Client{Timeout: operatorTimeout}}
 }
 
-// Main runs the process's own command line.
+// Main runs the command line of the process.
 func Main(ctx context.Context, e *Environment) int {
 	return Run(ctx, e, os.Args[1:])
 }
--- a/mfcommand/document.go
+++ b/mfcommand/document.go
@@ -22,11 +22,12 @@
 	"mothferry/mfoperate"
 )
 
-// revisionComment begins the line in which get notes the revision that it
-// read, and apply finds the revision that was edited.
+// revisionComment begins the line in which get writes the revision that it read, and from
+// which apply takes the revision that was edited.
 const revisionComment = "# revision: "
 
-// Tries of a change whose reply was lost, and the pause between them.
+// applyAttempts bounds the attempts at a change whose reply is lost, applyRetryDelay is the
+// time between them, and pollInterval that between polls of commands that wait.
 const (
 	applyAttempts   = 5
 	applyRetryDelay = 500 * time.Millisecond
@@ -183,7 +184,8 @@
 	return mothferry.Revision(base), nil
 }
 
-// revisionOf returns the revision that get noted in a document's text.
+// revisionOf returns the revision that get wrote into a document's text, empty if there is
+// none.
 func revisionOf(text string) string {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for lines.Scan() {
@@ -194,7 +196,7 @@
 	return ""
 }
 
-// send makes a change, trying again with the same token if no reply came.
+// send makes a change, and retries it with the same token if no reply came.
 func (a *applyOptions) send(ctx context.Context, client *mfoperate.Client, service mothferry.ServiceID, text string, base mothferry.Revision) (mothferry.Revision, error) {
 	token := mfdaemon.NewToken()
 	var last error
--- a/mfcommand/explain.go
+++ b/mfcommand/explain.go
@@ -27,17 +27,17 @@
 					return err
 				}
 				job := mothferry.JobID(arguments[0])
-				story := mfstory.JobLines(job, lines)
-				if len(story) == 0 {
+				selected := mfstory.JobLines(job, lines)
+				if len(selected) == 0 {
 					return trace.Errorf("no line of these logs names job %s: were all daemons' logs given?", job)
 				}
-				for _, l := range story {
+				for _, l := range selected {
 					fmt.Fprintln(e.Out, l)
 				}
-				if told := mfstory.Explain(job, story); len(told) > 0 {
+				if explanation := mfstory.Explain(job, selected); len(explanation) > 0 {
 					fmt.Fprintln(e.Out)
-					for _, sentence := range told {
-						fmt.Fprintln(e.Out, sentence)
+					for _, text := range explanation {
+						fmt.Fprintln(e.Out, text)
 					}
 				}
 				return nil
--- a/mfcommand/host.go
+++ b/mfcommand/host.go
@@ -16,7 +16,7 @@
 	"mothferry/mfoperate"
 )
 
-// hostFlags are the flags that commands about hosts share.
+// hostFlags holds the flags that commands about hosts share.
 type hostFlags struct {
 	environment *Environment
 	operator    *string
@@ -46,7 +46,7 @@
 	return checkOutput(*f.output)
 }
 
-// await waits until a host's record is as it is to be.
+// await waits until a host's record satisfies done.
 func (f *hostFlags) await(ctx context.Context, client *mfoperate.Client, record mfhost.Record, done func(mfhost.Record) bool) (mfhost.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, *f.timeout)
 	defer cancel()
--- a/mfcommand/load.go
+++ b/mfcommand/load.go
@@ -19,9 +19,9 @@
 const hostsVariable = "MOTHFERRY_HOSTS"
 
 const (
-	// defaultMetricsTimeout is the usual bound of one host's answer.
+	// defaultMetricsTimeout is the default time limit of one host's response.
 	defaultMetricsTimeout = 3 * time.Second
-	// defaultTop is the usual bound of a table's rows.
+	// defaultTop is the default limit of a table's rows.
 	defaultTop = 20
 )
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// fetchInterval reads the hosts' metrics, twice if there is an interval: counters are
-// those of the interval then, and a host that missed either reading is missing.
+// fetchInterval reads the hosts' metrics, twice if over is not 0. Counters are then those of
+// the interval, and a host that missed either reading is missing.
 func fetchInterval(ctx context.Context, e *Environment, f *mfreport.Fetcher, addresses []mfreport.Address, over time.Duration) ([]mfreport.Host, []mfreport.MissingHost, error) {
 	before, missing, err := f.Fetch(ctx, addresses)
 	if err != nil || over == 0 {
@@ -113,7 +113,7 @@
 	return out, nil
 }
 
-// parseAddresses parts a list at its commas; each address counts once.
+// parseAddresses splits a comma-separated list; each address counts once.
 func parseAddresses(list string) []mfreport.Address {
 	var out []mfreport.Address
 	for text := range strings.SplitSeq(list, ",") {
--- a/mfcommand/play.go
+++ b/mfcommand/play.go
@@ -42,8 +42,8 @@
 				}
 				for k := range *plays {
 					s := *seed + uint64(k)
-					f, asked := mfemulate.PlayAccounts(load, mfemulate.Options{Limits: mfsched.DefaultLimits(), Seed: s, Moves: !*fixed, Off: off})
-					if err := printPlay(e, *output, s, f, asked); err != nil {
+					f, accounts := mfemulate.PlayAccounts(load, mfemulate.Options{Limits: mfsched.DefaultLimits(), Seed: s, Moves: !*fixed, Off: off})
+					if err := printPlay(e, *output, s, f, accounts); err != nil {
 						return err
 					}
 				}
@@ -53,7 +53,7 @@
 	}
 }
 
-// playResult is one play in the command's JSON.
+// playResult is the JSON output of one run of a load file.
 type playResult struct {
 	Seed               uint64                        `json:"seed"`
 	Jobs               int                           `json:"jobs"`
@@ -73,11 +73,11 @@
 	Crashes            int                           `json:"crashes"`
 	UnrelatedFailures  int                           `json:"blameless"`
 	Violations         int                           `json:"broken"`
-	// Accounts holds the client accounts whose callers asked hosts.
+	// Accounts holds the client accounts whose callers submitted jobs at hosts.
 	Accounts map[mothferry.AccountID]playAccount `json:"accounts,omitempty"`
 }
 
-// playAccount is what came of an account's jobs.
+// playAccount counts an account's jobs by what became of them.
 type playAccount struct {
 	Jobs                int `json:"jobs"`
 	Accepted            int `json:"accepted"`
@@ -88,7 +88,7 @@
 	RefusedWithCapacity int `json:"refusals_beside_room"`
 }
 
-func printPlay(e *Environment, output string, seed uint64, f mfemulate.Stats, asked map[mothferry.AccountID]mfemulate.AccountStats) error {
+func printPlay(e *Environment, output string, seed uint64, f mfemulate.Stats, accounts map[mothferry.AccountID]mfemulate.AccountStats) error {
 	p := playResult{
 		Seed: seed, Jobs: f.Jobs, OnTime: f.OnTime, Late: f.Late, TooLate: f.TooLate, Failed: f.Failed, WeightedOnTime: f.WeightedOnTime, LargestTenthOnTime: f.LargestOnTime, QueuesOnTime: f.OnTimeByQueue,
 		MachineSeconds: f.MachineSeconds, Moves: f.Moves, Starts: f.Starts, Stops: f.Stops, Polls: f.Polls, Commits: f.Commits,
@@ -96,7 +96,7 @@
 	}
 	if output == outputJSON {
 		p.Accounts = map[mothferry.AccountID]playAccount{}
-		for id, a := range asked {
+		for id, a := range accounts {
 			p.Accounts[id] = playAccount(a)
 		}
 		return trace.Wrap(json.NewEncoder(e.Out).Encode(p))
@@ -110,8 +110,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	for _, id := range slices.Sorted(maps.Keys(asked)) {
-		a := asked[id]
+	for _, id := range slices.Sorted(maps.Keys(accounts)) {
+		a := accounts[id]
 		if _, err := fmt.Fprintf(e.Out, "  account %s: %d jobs, %d accepted, %d in time, %d of no use, %d refused for good; %d refusals, %d of them beside room\n",
 			id, a.Jobs, a.Accepted, a.OnTime, a.TooLateOrFailed, a.Refused, a.Refusals, a.RefusedWithCapacity); err != nil {
 			return trace.Wrap(err)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// minFraction returns the smallest of the queues' parts in time, 1 without any.
+// minFraction returns the smallest of the queues' on-time fractions, 1 without any.
 func minFraction(queues map[mothferry.QueueID]float64) float64 {
 	least := 1.0
 	for _, part := range queues {
--- a/mfcommand/serve.go
+++ b/mfcommand/serve.go
@@ -47,22 +47,22 @@
 	defer signal.Stop(signals)
 	ended := make(chan error, 1)
 	go func() { ended <- daemon.Run(ctx) }()
-	told := false
+	stopping := false
 	for {
 		select {
 		case err := <-ended:
 			return err
 		case <-signals:
-			if told {
+			if stopping {
 				return trace.Errorf("stopped at once, %d requests in flight were cut off", daemon.InFlight())
 			}
-			told = true
+			stopping = true
 			cancel()
 		}
 	}
 }
 
-// logsOf makes the logs that checked settings ask for.
+// logsOf creates the logs from validated settings.
 func logsOf(e *Environment, s mfsetting.Log) *mflog.Logs {
 	logs := &mflog.Logs{Output: e.Err, Format: s.Format, Level: log.MustParseLevel(s.Level), Parts: map[string]log.Level{}}
 	for part, level := range s.Parts {
--- a/mfcommand/shard.go
+++ b/mfcommand/shard.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// shardResult is the shard in the command's JSON.
+// shardResult is the JSON output of the shard command.
 type shardResult struct {
 	Owner        mothferry.DaemonID            `json:"owner"`
 	Epoch        mothferry.Epoch               `json:"epoch"`
@@ -65,7 +65,7 @@
 	PendingKnown bool                          `json:"counted"`
 	Pending      map[mothferry.QueueID]int     `json:"pending"`
 	WaitMs       map[mothferry.ServiceID]int64 `json:"wait_ms"`
-	// RequestedMs is how long before the row was written machines were asked for.
+	// RequestedMs is how long before the row was written each machine was requested.
 	RequestedMs map[mothferry.MachineID]int64 `json:"machines_asked_ms"`
 	Waves       []shardWave                   `json:"waves"`
 }
@@ -117,7 +117,7 @@
 	return trace.Wrap(w.Flush())
 }
 
-// formatMap writes a map in the order of its keys.
+// formatMap formats a map in the order of its keys.
 func formatMap[K ~string, V int | int64](m map[K]V) string {
 	if len(m) == 0 {
 		return "none"
--- a/mfdaemon/daemon.go
+++ b/mfdaemon/daemon.go
@@ -1,5 +1,5 @@
-// Package mfdaemon assembles the parts of one daemon under a tree of
-// supervisors and stops them in order.
+// Package mfdaemon assembles the components of one daemon under a tree of supervisors and
+// stops them in order.
 package mfdaemon
 
 import (
@@ -36,24 +36,25 @@
 	"mothferry/mfusage"
 )
 
-// Bounds that are not settings.
 const (
 	// callTimeout bounds one call between peers.
 	callTimeout = 2 * time.Second
-	// maxMissedHeartbeats is how many heartbeats may be missed by a live peer.
+	// maxMissedHeartbeats is how many heartbeat intervals after its last heartbeat a peer
+	// still counts as live.
 	maxMissedHeartbeats = 4
-	// headerTimeout bounds how long a caller may take over its request's header.
+	// headerTimeout bounds how long a caller may take to send its request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's unused connection is kept.
+	// idleTimeout is how long a caller's idle connection is kept open.
 	idleTimeout = 2 * time.Minute
-	// queueWaitFraction is the part of a request's time that it may be expected to wait
-	// in the queue, and overloadShare the same under overload; docs/design/routing.md
-	// has the figures behind both.
+	// queueWaitFraction is the fraction of a request's time that it may be expected to wait in
+	// the queue, and overloadWaitFraction the same under overload; docs/design/routing.md has
+	// the measurements behind both.
 	queueWaitFraction    = 0.12
 	overloadWaitFraction = 0.035
-	// platformConnections bounds the unused connections to the platform that are kept.
+	// platformConnections bounds the idle connections to the platform that are kept open.
 	platformConnections = 16
-	// stopGrace is added to the longest deadline in force when a daemon stops.
+	// stopGrace is how much longer than the longest deadline in force a stopping daemon waits
+	// for requests in flight.
 	stopGrace = 2 * time.Second
 )
 
@@ -64,7 +65,7 @@
 	Random   mothferry.Random
 	Logs     *mflog.Logs
 
-	// Listeners may be given by tests; else Run listens at the settings' addresses.
+	// Listeners may be set by tests; otherwise Run listens at the settings' addresses.
 	Callers, Peers, Operators net.Listener
 
 	log        *log.Entry
@@ -88,11 +89,11 @@
 	done    chan struct{}
 }
 
-// NewToken returns a token that is never used twice.
+// NewToken returns a new unique token.
 func NewToken() mothferry.Token { return mothferry.Token(rand.Text()) }
 
-// Run serves until ctx ends and then stops gracefully: unready first, then no
-// new connections, then the requests in flight come to their end.
+// Run serves until ctx ends and then stops gracefully: it becomes unready, then accepts no new
+// connections, then waits for the requests in flight.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.done = make(chan struct{})
 	defer close(d.done)
@@ -101,27 +102,27 @@
 		return err
 	}
 	d.build()
-	parts, stopParts := context.WithCancel(context.Background())
-	defer stopParts()
+	componentsCtx, stopComponents := context.WithCancel(context.Background())
+	defer stopComponents()
 	root := d.supervise()
-	ended := root.ServeBackground(parts)
+	ended := root.ServeBackground(componentsCtx)
 	d.log.WithField("daemon", d.Settings.Daemon).WithField("data_centre", d.Settings.DataCentre).
-		WithField("callers", d.Callers.Addr()).WithField("operators", d.Operators.Addr()).Info("Daemon serves.")
+		WithField("callers", d.Callers.Addr()).WithField("operators", d.Operators.Addr()).Info("daemon is serving")
 	<-ctx.Done()
 	d.stop()
-	stopParts()
+	stopComponents()
 	err := <-ended
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
-	d.log.Info("Daemon stopped.")
+	d.log.Info("daemon stopped")
 	return trace.Wrap(err)
 }
 
 // Done is closed when Run has returned.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// InFlight returns how many callers' requests are in work.
+// InFlight returns the number of callers' requests in flight.
 func (d *Daemon) InFlight() int64 {
 	if d.entry == nil {
 		return 0
@@ -143,14 +144,14 @@
 		}
 		listener, err := net.Listen("tcp", k.address)
 		if err != nil {
-			return trace.Wrap(err, "listening at %s", k.address)
+			return trace.Wrap(err, "listen at %s", k.address)
 		}
 		*k.listener = listener
 	}
 	return nil
 }
 
-// build makes the parts and ties them together.
+// build creates the components and connects them.
 func (d *Daemon) build() {
 	s := d.Settings
 	client := &mfplatform.Client{URL: s.Platform.URL, Timeout: s.Platform.Timeout, HTTP: &http.Client{
@@ -269,13 +270,13 @@
 	return live
 }
 
-// ready reports whether callers should be sent here.
+// ready reports whether callers should send requests to this daemon.
 func (d *Daemon) ready() bool {
 	return !d.stopping.Load() && d.Settings.Roles.Entry && d.store.Current().Revision > 0
 }
 
-// supervise arranges the parts in a tree: a part that fails is started again
-// without the others noticing.
+// supervise arranges the components in a tree of supervisors: a component that fails is
+// restarted without affecting the others.
 func (d *Daemon) supervise() *suture.Supervisor {
 	state := d.supervisor("state")
 	state.Add(component{"peers", d.mesh.Run})
@@ -302,9 +303,10 @@
 	return root
 }
 
-// stop ends the requests' side of the daemon, nothing in flight cut off.
+// stop shuts the callers' server down gracefully, within the longest deadline in force plus
+// stopGrace, and closes the operators' server.
 func (d *Daemon) stop() {
-	d.log.WithField("in_flight", d.InFlight()).Info("Daemon is stopping.")
+	d.log.WithField("in_flight", d.InFlight()).Info("daemon is stopping")
 	d.stopping.Store(true)
 	d.entry.BeginShutdown()
 	d.follower.SetStopping()
@@ -312,12 +314,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.longestDeadline()+stopGrace)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		d.log.WithField("in_flight", d.InFlight()).WithError(err).Warn("Requests were cut off after the longest deadline.")
+		d.log.WithField("in_flight", d.InFlight()).WithError(err).Warn("requests in flight were cut off after the longest deadline")
 	}
 	_ = d.operators.Close()
 }
 
-// longestDeadline returns the longest that a request in flight may take.
+// longestDeadline returns the longest request deadline of the documents in force.
 func (d *Daemon) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, r := range d.store.Current().Documents {
--- a/mfoperate/client.go
+++ b/mfoperate/client.go
@@ -17,8 +17,8 @@
 	"mothferry/mfyaml"
 )
 
-// ErrRefused reports a call that a daemon refused for a reason that has no
-// type of its own.
+// ErrRefused reports a call that a daemon refused for a reason without an error type of its
+// own.
 type ErrRefused struct {
 	Kind   string
 	Detail string
@@ -27,7 +27,7 @@
 // Error implements error.
 func (e *ErrRefused) Error() string { return e.Kind + ": " + e.Detail }
 
-// ErrUnreachable reports a daemon whose operators' interface did not reply.
+// ErrUnreachable reports that the operators' interface of a daemon did not reply.
 type ErrUnreachable struct {
 	URL string
 	Err error
@@ -75,8 +75,8 @@
 	return string(data), mothferry.Revision(revision), nil
 }
 
-// Apply changes a document that was read at revision base, and returns the
-// revision accepted. The same token may be given again after a lost reply.
+// Apply changes a document that was read at revision base, and returns the revision accepted.
+// After a lost reply it can be retried with the same token.
 func (c *Client) Apply(ctx context.Context, service mothferry.ServiceID, text string, base mothferry.Revision, author string, token mothferry.Token) (mothferry.Revision, error) {
 	query := url.Values{}
 	query.Set(paramBase, strconv.FormatUint(uint64(base), 10))
--- a/mfoperate/handler.go
+++ b/mfoperate/handler.go
@@ -1,4 +1,5 @@
-// Package mfoperate serves operators over HTTP: documents, status, health and metrics.
+// Package mfoperate implements the operators' HTTP interface: documents, status, hosts, health
+// and metrics.
 package mfoperate
 
 import (
@@ -35,10 +36,10 @@
 	paramToken  = "token"
 )
 
-// headerRevision carries a document's revision beside its text.
+// headerRevision is the response header with a document's revision.
 const headerRevision = "Mothferry-Revision"
 
-// Leases tells which shards this daemon holds.
+// Leases lists the shards that this daemon holds.
 type Leases interface {
 	Holdings() []mflease.Holding
 }
@@ -54,9 +55,9 @@
 	Leases     Leases
 	Hosts      *mfhost.Changer
 	Clock      mothferry.Clock
-	// PeerTimeout is how long ago a peer may have been heard to count as live.
+	// PeerTimeout is how long after its last heartbeat a peer counts as live.
 	PeerTimeout time.Duration
-	// Ready tells whether callers should be sent here.
+	// Ready reports whether callers should send requests to this daemon.
 	Ready   func() bool
 	Metrics http.Handler
 	Log     *log.Entry
@@ -85,7 +86,7 @@
 	}
 }
 
-// Status is what one daemon knows of itself and its peers.
+// Status is a daemon's view of itself and its peers.
 type Status struct {
 	Daemon     mothferry.DaemonID   `json:"daemon"`
 	DataCentre mothferry.DataCentre `json:"data_centre"`
@@ -106,7 +107,7 @@
 	Epoch mothferry.Epoch  `json:"epoch"`
 }
 
-// PeerStatus is what the daemon last heard of a peer.
+// PeerStatus is the status of a peer by its last heartbeat.
 type PeerStatus struct {
 	Daemon     mothferry.DaemonID   `json:"daemon"`
 	DataCentre mothferry.DataCentre `json:"data_centre"`
@@ -126,7 +127,7 @@
 	Placed  int `json:"placed"`
 }
 
-// InForce returns how many of all daemons have a revision in force, and which do not.
+// InForce returns how many of all daemons have a revision in force, and which of them lag.
 func (s Status) InForce(revision mothferry.Revision) (count, all int, lagging []mothferry.DaemonID) {
 	all = 1 + len(s.Peers)
 	if s.Revision >= revision {
@@ -229,10 +230,10 @@
 		writeError(w, err)
 		return
 	}
-	h.Log.WithField("service", change.Document.Service).WithField("revision", revision).WithField("author", change.Author).Info("Document accepted.")
+	h.Log.WithField("service", change.Document.Service).WithField("revision", revision).WithField("author", change.Author).Info("document accepted")
 	if err := h.Follower.PublishAccepted(r.Context(), revision); err != nil {
 		// The change is accepted and durable; the daemons' polls will find it.
-		h.Log.WithError(err).Warn("Accepted document could not be read back.")
+		h.Log.WithError(err).Warn("read back of accepted document failed")
 	}
 	writeJSON(w, http.StatusOK, changeReply{Service: change.Document.Service, Revision: revision})
 }
@@ -284,7 +285,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Kinds of error that the operators' interface tells apart.
+// Kinds of error on the operators' interface.
 const (
 	kindInvalid  = "invalid"
 	kindConflict = "conflict"
@@ -297,7 +298,7 @@
 // platform did not reply to the daemon.
 const KindUnavailable = "platform_unavailable"
 
-// failureReply is the body of a failed call.
+// failureReply is the body of the reply to a failed call.
 type failureReply struct {
 	Kind     string             `json:"kind"`
 	Detail   string             `json:"detail"`
@@ -317,7 +318,7 @@
 	Want  string `json:"want"`
 }
 
-// writeError replies with an error's status and typed form.
+// writeError replies with the status and JSON form of an error.
 func writeError(w http.ResponseWriter, err error) {
 	status, body := encodeFailure(err)
 	writeJSON(w, status, body)
--- a/mfoperate/hosts.go
+++ b/mfoperate/hosts.go
@@ -18,11 +18,11 @@
 	paramUndo       = "undo"
 )
 
-// dataCentreOf returns the data centre that a call is about: this daemon's own
-// unless the call names another.
+// dataCentreOf returns the data centre that a call is about: that of this daemon unless the
+// call names another.
 func (h *Handler) dataCentreOf(r *http.Request) mothferry.DataCentre {
-	if own := r.URL.Query().Get(paramDataCentre); own != "" {
-		return mothferry.DataCentre(own)
+	if named := r.URL.Query().Get(paramDataCentre); named != "" {
+		return mothferry.DataCentre(named)
 	}
 	return h.DataCentre
 }
@@ -63,7 +63,7 @@
 		writeError(w, err)
 		return
 	}
-	h.Log.WithField("host", record.Host).WithField("state", record.State).WithField("author", record.Author).Info("Host change is accepted.")
+	h.Log.WithField("host", record.Host).WithField("state", record.State).WithField("author", record.Author).Info("host change accepted")
 	writeJSON(w, http.StatusOK, record)
 }
 
@@ -74,12 +74,12 @@
 	return records, err
 }
 
-// Move asks for a host to be emptied and moved to another pool.
+// Move requests that a host is drained and moved to another pool.
 func (c *Client) Move(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, pool mothferry.PoolID, author string) (mfhost.Record, error) {
 	return c.changeHost(ctx, host, "move", url.Values{paramDataCentre: {string(dc)}, paramPool: {string(pool)}, paramAuthor: {author}})
 }
 
-// Drain asks for a host to be emptied, or with undo to take runners again.
+// Drain requests that a host is drained, or with undo that it takes runners again.
 func (c *Client) Drain(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, undo bool, author string) (mfhost.Record, error) {
 	query := url.Values{paramDataCentre: {string(dc)}, paramAuthor: {author}}
 	if undo {
