--- a/mfplatform/client.go
+++ b/mfplatform/client.go
@@ -14,8 +14,7 @@
 	"mothferry"
 )
 
-// Client calls the platform over HTTP. It implements every interface of
-// mothferry.Platform.
+// Client calls the platform over HTTP. It implements every interface of mothferry.Platform.
 type Client struct {
 	// URL is the platform's base address.
 	URL string
@@ -102,11 +101,11 @@
 	return c.call(ctx, http.MethodPost, hostPath(host, "reboot"), hostRequest{Fence: toFence(f)}, nil)
 }
 
-func hostPath(host mothferry.HostID, act string) string {
-	return pathWorkers + url.PathEscape(string(host)) + "/" + act
+func hostPath(host mothferry.HostID, action string) string {
+	return pathWorkers + url.PathEscape(string(host)) + "/" + action
 }
 
-// objects is the client as an object store.
+// objects implements mothferry.ObjectStore over a Client.
 type objects struct{ client *Client }
 
 // Get implements mothferry.ObjectStore.
@@ -143,9 +142,8 @@
 	return nil
 }
 
-// send makes one call and returns the body of a successful reply. Whatever
-// keeps the reply from arriving whole is ErrUnavailable: the platform may
-// have acted.
+// send makes one call and returns the body of a successful reply. If no complete reply
+// arrives, the error is an ErrUnavailable, since the platform may have executed the call.
 func (c *Client) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	operation := method + " " + path
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
--- a/mfplatform/client_test.go
+++ b/mfplatform/client_test.go
@@ -22,8 +22,8 @@
 	return &mfplatform.Client{URL: server.URL, Timeout: 10 * time.Second, HTTP: server.Client()}
 }
 
-// TestErrorsKeepFieldsOverHTTP shows that the errors of an implementation arrive
-// with their fields.
+// TestErrorsKeepFieldsOverHTTP checks that a platform's typed errors reach the client with
+// their fields.
 func TestErrorsKeepFieldsOverHTTP(t *testing.T) {
 	standin, err := mfstandin.New(mfclock.System{}, mfstandin.Fleet{
 		DataCentres: []mothferry.DataCentre{"dc1"}, Pools: []mothferry.PoolID{"p"}, HostsPerPool: 1, HostsPerRack: 1,
@@ -53,9 +53,9 @@
 	assert.Assert(t, errors.As(err, &missing))
 }
 
-// TestMalformedReplies shows that whatever the platform replies becomes a
-// typed error: ErrUnavailable if the reply did not arrive whole, since the
-// change may have been made, and ErrBadReply if it makes no sense.
+// TestMalformedReplies checks that every malformed reply becomes a typed error: ErrUnavailable
+// if the reply is incomplete, since the change may have been made, and ErrBadReply if it is
+// invalid.
 func TestMalformedReplies(t *testing.T) {
 	for _, k := range []struct {
 		name        string
--- a/mfplatform/wire.go
+++ b/mfplatform/wire.go
@@ -1,6 +1,6 @@
-// Package mfplatform speaks the platform's HTTP and JSON interface: Client
-// implements the root package's interfaces over it, and Handler serves any
-// implementation of them, which is how stand-ins take the platform's place.
+// Package mfplatform implements the platform's HTTP and JSON interface. Client implements the
+// root package's interfaces over it, and Handler serves any implementation of them, such as a
+// stand-in of the platform.
 package mfplatform
 
 import (
@@ -153,7 +153,7 @@
 	return out
 }
 
-// encodeError turns an error of an implementation into its status and wire form.
+// encodeError converts an implementation's error to its status and wire form.
 func encodeError(err error) (int, errorReply) {
 	var conflict *mothferry.ErrConflict
 	var missing *mothferry.ErrNotFound
@@ -172,7 +172,7 @@
 	}
 }
 
-// decodeError turns the body of a failed call back into a typed error.
+// decodeError converts the body of a failed call to a typed error.
 func decodeError(operation string, data []byte) error {
 	var reply errorReply
 	if err := json.Unmarshal(data, &reply); err != nil {
@@ -190,6 +190,6 @@
 	case kindUnavailable:
 		return &mothferry.ErrUnavailable{Operation: operation, Err: errors.New(reply.Detail)}
 	default:
-		return &mothferry.ErrBadReply{Operation: operation, Detail: "kind of error is " + reply.Kind}
+		return &mothferry.ErrBadReply{Operation: operation, Detail: "unknown kind of error: " + reply.Kind}
 	}
 }
--- a/mfusage/monitor.go
+++ b/mfusage/monitor.go
@@ -1,5 +1,5 @@
-// Package mfusage watches how much processor time this process uses. A loop that never waits is
-// noticed by nothing else: the process answers, only late.
+// Package mfusage monitors the processor time of this process. Nothing else detects a busy
+// loop: the process still answers, only late.
 package mfusage
 
 import (
@@ -18,15 +18,18 @@
 )
 
 const (
-	// readInterval is the time between two readings. Any second of full use has a whole round in it.
+	// readInterval is the time between two readings. Every second of full use contains a whole
+	// interval.
 	readInterval = 500 * time.Millisecond
-	// fullUseFraction is the part of a core from which on a round counts as one of full use.
+	// fullUseFraction is the fraction of a core from which an interval counts as one of full
+	// use.
 	fullUseFraction = 0.95
-	// minWarnInterval bounds how often full use is logged.
+	// minWarnInterval is the minimum time between two warnings about full use.
 	minWarnInterval = 30 * time.Second
 )
 
-// Monitor reads the processor time of this process in rounds. The exported fields are set before Run.
+// Monitor reads the processor time of this process at regular intervals. The exported fields
+// are set before Run.
 type Monitor struct {
 	Clock mothferry.Clock
 	// Used returns the processor time that the process has used so far.
@@ -37,15 +40,17 @@
 	fullUse      fullUseLog
 }
 
-// CoreFraction is the part of a core that the process used in the last round.
+// CoreFraction returns the processor time used in the last interval, as a fraction of one
+// core.
 func (w *Monitor) CoreFraction() float64 { return math.Float64frombits(w.coreFraction.Load()) }
 
-// Run reads in rounds until ctx ends, or until the time can't be read.
+// Run reads the processor time at regular intervals until ctx ends or a reading fails. If the
+// first reading fails, it logs that and waits for ctx.
 func (w *Monitor) Run(ctx context.Context) error {
 	began := w.Clock.Now()
 	before, err := w.Used()
 	if err != nil {
-		w.Log.WithError(err).Warn("processor time can't be read, it is not watched")
+		w.Log.WithError(err).Warn("processor time can't be read, it is not monitored")
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -61,42 +66,42 @@
 	return ctx.Err()
 }
 
-// recordInterval takes in what was used in one round.
-func (w *Monitor) recordInterval(now time.Time, lasted, used time.Duration) {
-	if lasted <= 0 {
+// recordInterval records the processor time used in one interval, and warns about full use.
+func (w *Monitor) recordInterval(now time.Time, elapsed, used time.Duration) {
+	if elapsed <= 0 {
 		return
 	}
-	share := used.Seconds() / lasted.Seconds()
-	w.coreFraction.Store(math.Float64bits(share))
-	rounds, warn := w.fullUse.record(share, now)
+	fraction := used.Seconds() / elapsed.Seconds()
+	w.coreFraction.Store(math.Float64bits(fraction))
+	intervals, warn := w.fullUse.record(fraction, now)
 	if !warn {
 		return
 	}
 	w.Log.WithFields(log.Fields{
-		"cores": share, "round_ms": lasted.Milliseconds(), "full_rounds": rounds, "goroutines": runtime.NumGoroutine(),
+		"cores": fraction, "round_ms": elapsed.Milliseconds(), "full_rounds": intervals, "goroutines": runtime.NumGoroutine(),
 	}).Warn("process uses a whole core")
 }
 
-// fullUseLog decides when full use is worth a line.
+// fullUseLog limits the warnings about full use.
 type fullUseLog struct {
-	// intervals counts the rounds of full use since the last line.
+	// intervals counts the intervals of full use since the last warning.
 	intervals int
 	loggedAt  time.Time
 }
 
-// record takes in a round's share of a core. It returns how many rounds of full use there were since the last
-// line, and whether a line is due.
-func (f *fullUseLog) record(share float64, now time.Time) (int, bool) {
-	if share < fullUseFraction {
+// record records the fraction of a core used in an interval. It returns how many intervals of
+// full use there were since the last warning, and whether a warning is due.
+func (f *fullUseLog) record(fraction float64, now time.Time) (int, bool) {
+	if fraction < fullUseFraction {
 		return 0, false
 	}
 	f.intervals++
 	if !f.loggedAt.IsZero() && now.Sub(f.loggedAt) < minWarnInterval {
 		return 0, false
 	}
-	rounds := f.intervals
+	intervals := f.intervals
 	f.intervals, f.loggedAt = 0, now
-	return rounds, true
+	return intervals, true
 }
 
 // ProcessorTime returns the processor time that this process has used so far.
--- a/mfusage/monitor_test.go
+++ b/mfusage/monitor_test.go
@@ -13,25 +13,26 @@
 	"mothferry/mffake"
 )
 
-// A process that spins must not do so unnoticed: a line tells it, and few of them.
+// A process that spins for a long time is logged, but only every 30 s.
 func TestFullUseWarningsAreRateLimited(t *testing.T) {
 	var f fullUseLog
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	told, rounds := 0, 0
+	warnings, intervals := 0, 0
 	for range 140 {
 		now = now.Add(readInterval)
 		if n, warn := f.record(1.0, now); warn {
-			told++
-			rounds += n
+			warnings++
+			intervals += n
 		}
 	}
-	assert.Equal(t, told, 3)
-	assert.Equal(t, rounds, 121)
+	assert.Equal(t, warnings, 3)
+	assert.Equal(t, intervals, 121)
 	_, warn := f.record(0.9, now.Add(time.Hour))
 	assert.Assert(t, !warn)
 }
 
-// A round in which the process used a whole core is told, one in which it did not is not.
+// An interval in which the process used a whole core is logged, one in which it used half a
+// core is not.
 func TestFullUseIsLogged(t *testing.T) {
 	lines := memory.New()
 	w := &Monitor{Clock: mfclock.System{}, Log: log.NewEntry(&log.Logger{Handler: lines, Level: log.InfoLevel})}
@@ -45,7 +46,7 @@
 	assert.Equal(t, w.CoreFraction(), 1.0)
 }
 
-// What is read grows with what is used.
+// The reading grows with the processor time used.
 func TestProcessorTime(t *testing.T) {
 	before, err := ProcessorTime()
 	assert.NilError(t, err)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Where the time can't be read nothing else fails.
+// If the processor time cannot be read, that is logged and nothing else fails.
 func TestUnreadableProcessorTimeIsLogged(t *testing.T) {
 	lines := memory.New()
 	w := &Monitor{
