--- a/mfplatform/wire.go
+++ b/mfplatform/wire.go
@@ -190,6 +190,6 @@
 	case kindUnavailable:
 		return &mothferry.ErrUnavailable{Operation: operation, Err: errors.New(reply.Detail)}
 	default:
-		return &mothferry.ErrBadReply{Operation: operation, Detail: "unknown kind of error: " + reply.Kind}
+		return &mothferry.ErrBadReply{Operation: operation, Detail: "kind of error is " + reply.Kind}
 	}
 }
--- a/mfprocess/control_test.go
+++ b/mfprocess/control_test.go
@@ -65,7 +65,7 @@
 }
 
 func measureControl(b *testing.B, s controlSize) {
-	const settled, span = 4 * time.Second, 5 * time.Second
+	const settleTime, span = 4 * time.Second, 5 * time.Second
 	var pools []string
 	for i := range s.pools {
 		pools = append(pools, fmt.Sprint("pool-", i))
@@ -84,7 +84,7 @@
 	}
 	d.awaitRevision(b, mothferry.Revision(s.documents), d.processes)
 	d.awaitServing(b, d.processes)
-	time.Sleep(settled)
+	time.Sleep(settleTime)
 	before := make([]usage, len(d.processes))
 	for i, p := range d.processes {
 		before[i] = d.resourceUsage(b, p)
@@ -92,19 +92,19 @@
 	load := getStandin[mfstandin.TableLoad](b, d, "load")
 	time.Sleep(span)
 	after := getStandin[mfstandin.TableLoad](b, d, "load")
-	var most, sum usage
+	var maximum, sum usage
 	for i, p := range d.processes {
 		u := d.resourceUsage(b, p)
 		u.cpuTime, u.peerBytes, u.platformBytes = u.cpuTime-before[i].cpuTime, u.peerBytes-before[i].peerBytes, u.platformBytes-before[i].platformBytes
-		most = usage{max(most.cpuTime, u.cpuTime), max(most.resident, u.resident), max(most.peerBytes, u.peerBytes), max(most.platformBytes, u.platformBytes)}
+		maximum = usage{max(maximum.cpuTime, u.cpuTime), max(maximum.resident, u.resident), max(maximum.peerBytes, u.peerBytes), max(maximum.platformBytes, u.platformBytes)}
 		sum = usage{sum.cpuTime + u.cpuTime, sum.resident + u.resident, sum.peerBytes + u.peerBytes, sum.platformBytes + u.platformBytes}
 	}
 	n := float64(len(d.processes))
-	b.ReportMetric(100*most.cpuTime.Seconds()/span.Seconds(), "most-core-%")
+	b.ReportMetric(100*maximum.cpuTime.Seconds()/span.Seconds(), "most-core-%")
 	b.ReportMetric(100*sum.cpuTime.Seconds()/span.Seconds()/n, "mean-core-%")
-	b.ReportMetric(float64(most.resident/mothferry.Mebibyte), "most-MiB")
+	b.ReportMetric(float64(maximum.resident/mothferry.Mebibyte), "most-MiB")
 	b.ReportMetric(sum.peerBytes/span.Seconds()/n/1000, "mean-peer-kB/s")
-	b.ReportMetric(most.platformBytes/span.Seconds()/1000, "most-platform-kB/s")
+	b.ReportMetric(maximum.platformBytes/span.Seconds()/1000, "most-platform-kB/s")
 	b.ReportMetric(float64(after.Reads-load.Reads)/span.Seconds(), "table-reads/s")
 	b.ReportMetric(float64(after.Writes-load.Writes)/span.Seconds(), "table-writes/s")
 	b.ReportMetric(0, "ns/op")
--- a/mfprocess/failure_test.go
+++ b/mfprocess/failure_test.go
@@ -142,7 +142,7 @@
 func (d *deployment) injectFaults(t *testing.T, services []mothferry.ServiceID) {
 	t.Helper()
 	pause := func() { time.Sleep(400 * time.Millisecond) }
-	runner := func(service mothferry.ServiceID, f mfstandin.RunnerFaults) {
+	setRunner := func(service mothferry.ServiceID, f mfstandin.RunnerFaults) {
 		for _, r := range getStandin[[]mfstandin.RunnerStatus](t, d, "runners") {
 			if r.Service == service {
 				d.setStandin(t, "runners/"+string(r.Runner), f)
@@ -151,10 +151,10 @@
 		}
 	}
 	pause()
-	runner(services[0], mfstandin.RunnerFaults{Dead: true})
-	runner(services[1], mfstandin.RunnerFaults{DropAfterRun: true})
-	runner(services[2], mfstandin.RunnerFaults{CutAfter: 40})
-	runner(services[3], mfstandin.RunnerFaults{Work: 1500 * time.Millisecond})
+	setRunner(services[0], mfstandin.RunnerFaults{Dead: true})
+	setRunner(services[1], mfstandin.RunnerFaults{DropAfterRun: true})
+	setRunner(services[2], mfstandin.RunnerFaults{CutAfter: 40})
+	setRunner(services[3], mfstandin.RunnerFaults{Work: 1500 * time.Millisecond})
 	pause()
 	killed, suspended := d.processes[0], d.processes[3]
 	killed.kill(t)
--- a/mfprocess/load_test.go
+++ b/mfprocess/load_test.go
@@ -167,9 +167,9 @@
 		if random.Float64()*19 > 9 && noisy || !noisy && random.IntN(10) == 0 {
 			customer = "noisy"
 		}
-		host, part := 0, random.Float64()
-		for host < len(split)-1 && part > split[host] {
-			part -= split[host]
+		host, point := 0, random.Float64()
+		for host < len(split)-1 && point > split[host] {
+			point -= split[host]
 			host++
 		}
 		counted := next > warmUp
--- a/mfreport/metrics.go
+++ b/mfreport/metrics.go
@@ -157,14 +157,14 @@
 		for _, s := range before[name] {
 			earlier[s.key()] = s.value
 		}
-		var rest []sample
+		var deltas []sample
 		for _, s := range m[name] {
-			if was := earlier[s.key()]; was <= s.value {
-				s.value -= was
+			if previous := earlier[s.key()]; previous <= s.value {
+				s.value -= previous
 			}
-			rest = append(rest, s)
+			deltas = append(deltas, s)
 		}
-		out[name] = rest
+		out[name] = deltas
 	}
 	return out
 }
--- a/mfreport/sum.go
+++ b/mfreport/sum.go
@@ -15,7 +15,7 @@
 		account mothferry.AccountID
 	}
 	found := map[queueKey]*Queue{}
-	at := func(s sample) *Queue {
+	rowOf := func(s sample) *Queue {
 		l := queueKey{queue: mothferry.QueueID(s.labels["queue"]), account: mothferry.AccountID(s.labels["account"])}
 		if found[l] == nil {
 			found[l] = &Queue{Queue: l.queue, Account: l.account}
@@ -24,10 +24,10 @@
 	}
 	for _, h := range hosts {
 		for _, s := range h.Metrics[metricSubmitted] {
-			at(s).countOutcome(s.labels["outcome"], roundCount(s.value))
+			rowOf(s).countOutcome(s.labels["outcome"], roundCount(s.value))
 		}
 		for _, s := range h.Metrics[metricJobs] {
-			at(s).countEnd(s.labels["end"], roundCount(s.value))
+			rowOf(s).countEnd(s.labels["end"], roundCount(s.value))
 		}
 	}
 	var rows []Queue
@@ -39,21 +39,21 @@
 
 func accountsOf(queues []Queue, owner Metrics) []Account {
 	found := map[mothferry.AccountID]*Account{}
-	at := func(id mothferry.AccountID) *Account {
+	rowOf := func(id mothferry.AccountID) *Account {
 		if found[id] == nil {
 			found[id] = &Account{Account: id}
 		}
 		return found[id]
 	}
 	for _, q := range queues {
-		at(q.Account).add(q.Counts)
+		rowOf(q.Account).add(q.Counts)
 	}
 	for _, s := range owner[metricShare] {
-		a := at(mothferry.AccountID(s.labels["account"]))
+		a := rowOf(mothferry.AccountID(s.labels["account"]))
 		a.Share = addCores(a.Share, s.value)
 	}
 	for _, s := range owner[metricUsed] {
-		a := at(mothferry.AccountID(s.labels["account"]))
+		a := rowOf(mothferry.AccountID(s.labels["account"]))
 		a.Used = addCores(a.Used, s.value)
 	}
 	var rows []Account
@@ -84,7 +84,7 @@
 
 func poolsOf(owner Metrics) []Pool {
 	found := map[mothferry.ServiceID]*Pool{}
-	at := func(s sample) *Pool {
+	rowOf := func(s sample) *Pool {
 		id := mothferry.ServiceID(s.labels["service"])
 		if found[id] == nil {
 			found[id] = &Pool{Service: id}
@@ -92,7 +92,7 @@
 		return found[id]
 	}
 	for _, s := range owner[metricMachines] {
-		p := at(s)
+		p := rowOf(s)
 		switch s.labels["kind"] {
 		case "present":
 			p.Present += roundCount(s.value)
@@ -102,14 +102,14 @@
 			p.Target += roundCount(s.value)
 		}
 	}
-	most := map[mothferry.ServiceID]float64{}
+	largest := map[mothferry.ServiceID]float64{}
 	for _, s := range owner[metricBinding] {
-		if p := at(s); s.value > most[p.Service] {
-			most[p.Service], p.Binding = s.value, s.labels["resource"]
+		if p := rowOf(s); s.value > largest[p.Service] {
+			largest[p.Service], p.Binding = s.value, s.labels["resource"]
 		}
 	}
 	for _, s := range owner[metricSlow] {
-		at(s).Slow += roundCount(s.value)
+		rowOf(s).Slow += roundCount(s.value)
 	}
 	var rows []Pool
 	for _, p := range found {
@@ -133,7 +133,7 @@
 
 func callsOf(hosts []Host) []Calls {
 	found := map[string]*Calls{}
-	at := func(s sample) *Calls {
+	rowOf := func(s sample) *Calls {
 		kind := s.labels["kind"]
 		if found[kind] == nil {
 			found[kind] = &Calls{Kind: kind, Forwarded: map[string]int64{}, Carried: map[string]int64{}}
@@ -143,20 +143,20 @@
 	sent := map[string]int64{}
 	for _, h := range hosts {
 		for _, s := range h.Metrics[metricRequests] {
-			c := at(s)
+			c := rowOf(s)
 			c.Answered += roundCount(s.value)
 			if isServerError(s.labels["status"]) {
 				c.Unserved += roundCount(s.value)
 			}
 		}
 		for _, s := range h.Metrics[metricForwarded] {
-			at(s).Forwarded[s.labels["outcome"]] += roundCount(s.value)
+			rowOf(s).Forwarded[s.labels["outcome"]] += roundCount(s.value)
 			if !slices.Contains(unexecutedOutcomes, s.labels["outcome"]) {
 				sent[s.labels["kind"]] += roundCount(s.value)
 			}
 		}
 		for _, s := range h.Metrics[metricCarried] {
-			at(s).Carried[s.labels["outcome"]] += roundCount(s.value)
+			rowOf(s).Carried[s.labels["outcome"]] += roundCount(s.value)
 		}
 	}
 	rows := []Calls{}
--- a/mfstory/explain.go
+++ b/mfstory/explain.go
@@ -23,10 +23,10 @@
 
 // Explain describes the refusals, stragglers, speculative copies and forwarded calls in a
 // job's lines, which must be in the order of time. It returns nil for a job that had none.
-func Explain(job mothferry.JobID, story []Line) []string {
+func Explain(job mothferry.JobID, lines []Line) []string {
 	t := explainer{slowWorkers: map[string]Line{}, copies: map[string]Line{}}
-	for i, l := range story {
-		t.addEvent(job, l, story[i+1:])
+	for i, l := range lines {
+		t.addEvent(job, l, lines[i+1:])
 	}
 	if len(t.lines) == 0 {
 		return nil
@@ -142,15 +142,15 @@
 
 // addCopyStopped explains which of a task's two runs was stopped, and whose end counts.
 func (t *explainer) addCopyStopped(l Line) {
-	var of string
+	var copiedTask string
 	for name := range t.copies {
 		run, task, _ := strings.Cut(name, " of ")
 		if run == l.fieldText("run") && t.copies[name].fieldText("worker") == l.fieldText("worker") {
-			of = task
+			copiedTask = task
 		}
 	}
-	if of != "" {
-		t.addLine(l, "The copy of task %s (run %s) on worker %s was stopped: %s. Its end doesn't count: that of the run beside it does.", of, l.fieldText("run"), l.fieldText("worker"), l.fieldText("why"))
+	if copiedTask != "" {
+		t.addLine(l, "The copy of task %s (run %s) on worker %s was stopped: %s. Its end doesn't count: that of the run beside it does.", copiedTask, l.fieldText("run"), l.fieldText("worker"), l.fieldText("why"))
 		return
 	}
 	t.addLine(l, "Run %s on worker %s was stopped beside a copy: %s. Its end doesn't count: the copy's does.", l.fieldText("run"), l.fieldText("worker"), l.fieldText("why"))
@@ -178,17 +178,17 @@
 
 // describeOriginal names the worker of a copy's original run, with its speed if it is slow.
 func (t *explainer) describeOriginal(l Line) string {
-	beside := l.fieldText("beside")
-	if _, found := t.slowWorkers[beside]; found {
-		return beside + ", " + t.describeSpeed(beside)
+	original := l.fieldText("beside")
+	if _, found := t.slowWorkers[original]; found {
+		return original + ", " + t.describeSpeed(original)
 	}
-	return beside
+	return original
 }
 
 // describeRestart names the workers on which tasks of the same step were placed next.
-func describeRestart(behind Line, rest []Line) string {
+func describeRestart(straggler Line, rest []Line) string {
 	for _, l := range rest {
-		if l.Message == messagePlaced && l.Fields["job"] == behind.Fields["job"] && l.fieldText("step") == behind.fieldText("step") {
+		if l.Message == messagePlaced && l.Fields["job"] == straggler.Fields["job"] && l.fieldText("step") == straggler.fieldText("step") {
 			return fmt.Sprintf(" (next placed at %s, on %s)", l.formattedTime(), strings.Join(workersOf(l), ", "))
 		}
 	}
