--- a/mfprocess/control_test.go
+++ b/mfprocess/control_test.go
@@ -18,17 +18,18 @@
 	"mothferry/mfstandin"
 )
 
-// controlSize is what a measurement of control runs at.
+// controlSize is the size of the deployment in one run of BenchmarkControl.
 type controlSize struct {
 	daemonsPerCentre int
 	pools            int
 	hosts            int
 	documents        int
-	// entry leaves the entry on, idle, so that heartbeats tell of services.
+	// entry enables the entry role, without load, so that heartbeats carry the status of
+	// services.
 	entry bool
 }
 
-// usage is what one daemon has used up to a moment.
+// usage is a daemon's use of resources at one time.
 type usage struct {
 	cpuTime       time.Duration
 	resident      mothferry.Bytes
@@ -36,8 +37,9 @@
 	platformBytes float64
 }
 
-// BenchmarkControl measures a daemon's control alone, its entry switched off,
-// while nothing changes. Each size is varied by itself. Run with -benchtime 1x.
+// BenchmarkControl measures the cost of a daemon's control role while nothing changes. The
+// entry role is off, or idle in the last runs. Each size is varied by itself. Run with
+// -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
 	base := controlSize{daemonsPerCentre: 2, pools: 1, hosts: 32, documents: 10}
 	sizes := []controlSize{base}
@@ -63,7 +65,7 @@
 }
 
 func measureControl(b *testing.B, s controlSize) {
-	const settled, span = 4 * time.Second, 5 * time.Second
+	const settleTime, span = 4 * time.Second, 5 * time.Second
 	var pools []string
 	for i := range s.pools {
 		pools = append(pools, fmt.Sprint("pool-", i))
@@ -82,7 +84,7 @@
 	}
 	d.awaitRevision(b, mothferry.Revision(s.documents), d.processes)
 	d.awaitServing(b, d.processes)
-	time.Sleep(settled)
+	time.Sleep(settleTime)
 	before := make([]usage, len(d.processes))
 	for i, p := range d.processes {
 		before[i] = d.resourceUsage(b, p)
@@ -90,26 +92,26 @@
 	load := getStandin[mfstandin.TableLoad](b, d, "load")
 	time.Sleep(span)
 	after := getStandin[mfstandin.TableLoad](b, d, "load")
-	var most, sum usage
+	var maximum, sum usage
 	for i, p := range d.processes {
 		u := d.resourceUsage(b, p)
 		u.cpuTime, u.peerBytes, u.platformBytes = u.cpuTime-before[i].cpuTime, u.peerBytes-before[i].peerBytes, u.platformBytes-before[i].platformBytes
-		most = usage{max(most.cpuTime, u.cpuTime), max(most.resident, u.resident), max(most.peerBytes, u.peerBytes), max(most.platformBytes, u.platformBytes)}
+		maximum = usage{max(maximum.cpuTime, u.cpuTime), max(maximum.resident, u.resident), max(maximum.peerBytes, u.peerBytes), max(maximum.platformBytes, u.platformBytes)}
 		sum = usage{sum.cpuTime + u.cpuTime, sum.resident + u.resident, sum.peerBytes + u.peerBytes, sum.platformBytes + u.platformBytes}
 	}
 	n := float64(len(d.processes))
-	b.ReportMetric(100*most.cpuTime.Seconds()/span.Seconds(), "most-core-%")
+	b.ReportMetric(100*maximum.cpuTime.Seconds()/span.Seconds(), "most-core-%")
 	b.ReportMetric(100*sum.cpuTime.Seconds()/span.Seconds()/n, "mean-core-%")
-	b.ReportMetric(float64(most.resident/mothferry.Mebibyte), "most-MiB")
+	b.ReportMetric(float64(maximum.resident/mothferry.Mebibyte), "most-MiB")
 	b.ReportMetric(sum.peerBytes/span.Seconds()/n/1000, "mean-peer-kB/s")
-	b.ReportMetric(most.platformBytes/span.Seconds()/1000, "most-platform-kB/s")
+	b.ReportMetric(maximum.platformBytes/span.Seconds()/1000, "most-platform-kB/s")
 	b.ReportMetric(float64(after.Reads-load.Reads)/span.Seconds(), "table-reads/s")
 	b.ReportMetric(float64(after.Writes-load.Writes)/span.Seconds(), "table-writes/s")
 	b.ReportMetric(0, "ns/op")
 }
 
-// resourceUsage reads a daemon's use of processor and memory from the operating system
-// and its bytes, both ways together, from its metrics.
+// resourceUsage reads a daemon's CPU time and resident memory from /proc, and from its metrics
+// the bytes that it sent and received.
 func (d *deployment) resourceUsage(t testing.TB, p *process) usage {
 	t.Helper()
 	const tick = 10 * time.Millisecond
