--- a/mfforward/choose.go
+++ b/mfforward/choose.go
@@ -10,31 +10,30 @@
 	"mothferry/mfrecord"
 )
 
-// Figures of the choice of a peer.
 const (
-	// avoidUnserved is how long a peer that the store turns away is not asked again: a second
-	// look soon, as the store may turn other hosts away by then.
+	// avoidUnserved is how long a peer that the store does not serve is not asked again. It is
+	// short, as the store may serve this peer and refuse other hosts by then.
 	avoidUnserved = time.Second
-	// avoidLost is how long a peer that was lost or can't be reached is not asked again:
-	// about as long as a restart takes.
+	// avoidLost is how long a peer that was lost or can't be reached is not asked again: about
+	// as long as a restart takes.
 	avoidLost = 2 * time.Second
-	// missesBeforePause is how many peers in a row say that the store turns them away until it
-	// counts as out for all, and pauseFor how long then nobody is asked. With half of
-	// the hosts turned away that many in a row are one in 64.
+	// missesBeforePause is how many peers in a row must be unable to help before the store
+	// counts as down for all hosts and no peer is asked for pauseDuration. With half of the
+	// hosts not served, the chance of that many in a row is 1 in 64.
 	missesBeforePause = 6
 	pauseDuration     = 500 * time.Millisecond
-	// missesBeforeRemote is how many of those let the other data centres come first: the own one
-	// may be cut off from the store.
+	// missesBeforeRemote is how many of those misses make peers of other data centres come
+	// first: this host's data centre may be partitioned from the store.
 	missesBeforeRemote = 3
 )
 
-// Peers is what a host knows of the others. It is not safe for concurrent use.
+// Peers is what a host knows of the other hosts. It is not safe for concurrent use.
 type Peers struct {
 	self       mothferry.DaemonID
 	dataCentre mothferry.DataCentre
 	peers      []mfrecord.Host
 	avoided    map[mothferry.DaemonID]avoided
-	// misses counts the peers in a row that could not help.
+	// misses counts consecutive peers that could not help.
 	misses      int
 	pausedUntil time.Time
 }
@@ -45,12 +44,12 @@
 	misses int
 }
 
-// NewPeers returns the peers of a host, of which none is known yet.
-func NewPeers(own mothferry.DaemonID, at mothferry.DataCentre) *Peers {
-	return &Peers{self: own, dataCentre: at, avoided: map[mothferry.DaemonID]avoided{}}
+// NewPeers returns the peers of a host, none until Set is called.
+func NewPeers(self mothferry.DaemonID, at mothferry.DataCentre) *Peers {
+	return &Peers{self: self, dataCentre: at, avoided: map[mothferry.DaemonID]avoided{}}
 }
 
-// Set replaces the hosts that are known.
+// Set replaces the known hosts. Hosts without a forwarding address are left out.
 func (p *Peers) Set(hosts []mfrecord.Host) {
 	p.peers = nil
 	for _, h := range hosts {
@@ -60,16 +59,17 @@
 	}
 }
 
-// compare orders peers: those that could not help come after all others. Else those of
-// the own data centre come first, in an order of this host's own: the hosts that are
-// turned away spread over their peers, and each keeps to few of them.
+// compare orders peers by their consecutive misses, then by data centre, then by rank. Peers of
+// this host's data centre come first, or last after missesBeforeRemote misses. The rank differs
+// from host to host: hosts that the store does not serve spread over their peers, and each uses
+// only a few of them.
 func (p *Peers) compare(a, b mfrecord.Host) int {
-	near := cmp.Compare(p.distance(a), p.distance(b))
+	byDistance := cmp.Compare(p.distance(a), p.distance(b))
 	if p.misses >= missesBeforeRemote {
-		near = -near
+		byDistance = -byDistance
 	}
 	return cmp.Or(
-		cmp.Compare(p.avoided[a.Daemon].misses, p.avoided[b.Daemon].misses), near,
+		cmp.Compare(p.avoided[a.Daemon].misses, p.avoided[b.Daemon].misses), byDistance,
 		cmp.Compare(rank(p.self, a.Daemon), rank(p.self, b.Daemon)), cmp.Compare(a.Daemon, b.Daemon),
 	)
 }
@@ -81,13 +81,13 @@
 	return 1
 }
 
-// rank orders peers for a host, each host in another way. FNV alone has names that differ
-// in their last letter agree on most of the order.
-func rank(own, peer mothferry.DaemonID) uint64 {
+// rank orders the peers of a host, for each host in a different order. With FNV alone, names
+// that differ only in their last letter get nearly the same order.
+func rank(self, peer mothferry.DaemonID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(peer))
 	_, _ = h.Write([]byte{0})
-	_, _ = h.Write([]byte(own))
+	_, _ = h.Write([]byte(self))
 	sum := h.Sum64()
 	// The finalizer of MurmurHash3 spreads each bit over all.
 	sum ^= sum >> 33
@@ -97,12 +97,13 @@
 	return sum ^ sum>>33
 }
 
-// Choose returns the peer to ask next, of those that were not asked for this call yet
-// and do not have as many calls as they get from one host; false if there is none.
+// Choose returns the peer to ask next, or false if there is none. It skips peers that were
+// already asked for this call, and those that full reports to have as many calls as one host
+// may send them.
 //
-// The load it answers: a part of the hosts is turned away, and all their calls go to
-// the others. A peer that is turned away too, or is lost, is left out for a while
-// instead of costing each call a try, and when all are, nobody is asked.
+// While the store does not serve some of the hosts, all their calls go to the others. A peer
+// that is not served either, or is lost, is skipped for a while instead of costing each call an
+// attempt; after missesBeforePause misses, no peer is asked until the pause ends.
 func (p *Peers) Choose(asked []mothferry.DaemonID, full func(mothferry.DaemonID) bool, now time.Time) (mfrecord.Host, bool) {
 	if now.Before(p.pausedUntil) {
 		return mfrecord.Host{}, false
@@ -120,7 +121,7 @@
 	return best, found
 }
 
-// RecordStatus takes in whether the store serves a peer, as that told.
+// RecordStatus records whether the store serves a peer, as that peer reported.
 func (p *Peers) RecordStatus(peer mothferry.DaemonID, serving bool, now time.Time) {
 	if serving {
 		p.misses = 0
@@ -130,13 +131,12 @@
 	p.recordMiss(peer, now, avoidUnserved)
 }
 
-// RecordLoss takes in that a peer was lost or can't be reached.
+// RecordLoss records that a peer was lost or can't be reached.
 func (p *Peers) RecordLoss(peer mothferry.DaemonID, now time.Time) {
 	p.recordMiss(peer, now, avoidLost)
 }
 
-// recordMiss leaves a peer out for a while. What several calls at a time hear of one peer is
-// one miss.
+// recordMiss avoids a peer for d. Failures of concurrent calls to one peer count as one miss.
 func (p *Peers) recordMiss(peer mothferry.DaemonID, now time.Time, d time.Duration) {
 	a := p.avoided[peer]
 	known := now.Before(a.until)
@@ -149,7 +149,7 @@
 	}
 	p.avoided[peer] = a
 	if !known && p.misses >= missesBeforePause {
-		// The one that is asked next decides whether the pause goes on.
+		// One more miss after the pause starts the next pause.
 		p.misses = missesBeforePause - 1
 		p.pausedUntil = now.Add(pauseDuration)
 	}
--- a/mfforward/choose_test.go
+++ b/mfforward/choose_test.go
@@ -27,11 +27,12 @@
 
 func neverFull(mothferry.DaemonID) bool { return false }
 
-// Failure guarded against: the calls of half of the hosts all go to one peer, or across to another data centre.
+// The calls of hosts that the store does not serve must spread over the served peers of their
+// own data centre, instead of going to one peer or to another data centre.
 func TestHostsSpreadOverNearbyPeers(t *testing.T) {
 	hosts := append(hostsIn("a", 20), hostsIn("b", 20)...)
 	load := map[mothferry.DaemonID]int{}
-	near := 0
+	local := 0
 	for _, h := range hosts[:10] {
 		p := NewPeers(h.Daemon, h.DataCentre)
 		p.Set(hosts)
@@ -41,13 +42,13 @@
 			assert.Assert(t, ok)
 			assert.Assert(t, peer.DataCentre == h.DataCentre || tries >= missesBeforeRemote)
 			assert.Assert(t, peer.Daemon != h.Daemon)
-			// The other nine are turned away too.
+			// The store serves none of the first ten hosts.
 			served := peer.Daemon >= "a-10"
 			p.RecordStatus(peer.Daemon, served, now)
 			if served {
 				load[peer.Daemon]++
 				if peer.DataCentre == h.DataCentre {
-					near++
+					local++
 				}
 				break
 			}
@@ -56,14 +57,15 @@
 	}
 	total := 0
 	for peer, n := range load {
-		assert.Assert(t, n <= 5, "%s carries the calls of %d hosts", peer, n)
+		assert.Assert(t, n <= 5, "%s serves the calls of %d hosts", peer, n)
 		total += n
 	}
 	assert.Equal(t, total, 10)
-	assert.Assert(t, near >= 7, "%d of 10 hosts have a peer near by", near)
+	assert.Assert(t, local >= 7, "%d of 10 hosts use a local peer", local)
 }
 
-// Failure guarded against: a data centre that is cut off from the store has its hosts ask each other, and no host of another one.
+// The hosts of a data centre that is partitioned from the store must not ask only each other:
+// within maxPeersAsked attempts they ask a peer of another data centre.
 func TestUnservedDataCentreAsksAnother(t *testing.T) {
 	p := NewPeers("a-00", "a")
 	p.Set(append(hostsIn("a", 14), hostsIn("b", 14)...))
@@ -77,10 +79,11 @@
 	assert.Equal(t, asked[maxPeersAsked-1][0], byte('b'))
 	later, ok := p.Choose(nil, neverFull, start.Add(10*time.Second))
 	assert.Assert(t, ok)
-	assert.Equal(t, later.DataCentre, mothferry.DataCentre("a"), "untried peers near by come before far ones")
+	assert.Equal(t, later.DataCentre, mothferry.DataCentre("a"), "untried local peers come before remote ones")
 }
 
-// Failure guarded against: six calls at a time that ask one peer in vain count as six peers, and nobody is asked for a while.
+// Concurrent calls that fail at one peer must count as one miss; otherwise six of them would
+// pause forwarding to all peers.
 func TestConcurrentFailuresAreOneMiss(t *testing.T) {
 	p := NewPeers("a-00", "a")
 	p.Set(hostsIn("a", 4))
@@ -94,7 +97,8 @@
 	assert.Assert(t, other.Daemon != peer.Daemon)
 }
 
-// Failure guarded against: with the store out for all, each call is passed round among all hosts.
+// While the store is down for all hosts, calls must not be passed round among all of them:
+// asking pauses, and goes on once a peer is served.
 func TestStoreOutagePausesForwarding(t *testing.T) {
 	hosts := hostsIn("a", 40)
 	p := NewPeers("a-00", "a")
@@ -115,7 +119,8 @@
 	assert.Equal(t, again.Daemon, peer.Daemon)
 }
 
-// Failure guarded against: peers that are full, lost, without an address or were asked for the same call are asked again.
+// Peers that are full, were lost lately, have no address or were already asked for the same
+// call must not be asked.
 func TestUnusablePeersAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := append(hostsIn("a", 4), hostsIn("b", 4)...)
@@ -140,7 +145,7 @@
 			asked = append(asked, peer.Daemon)
 		}
 		if len(asked) > 0 && lost[0] == 'a' {
-			// The one that was lost comes last when it is asked again.
+			// A lost peer comes last when it is asked again.
 			asked = slices.DeleteFunc(asked, func(d mothferry.DaemonID) bool { return d == lost })
 		}
 		for i := 1; i < len(asked); i++ {
@@ -149,7 +154,8 @@
 	})
 }
 
-// Failure guarded against: one lost answer sends a host's calls to its peers, or a silent store is noticed only after a call's time-out.
+// A single failed call must not send a host's calls to its peers; two in a row do. An
+// unresponsive store must be detected sooner than by the timeout of a call.
 func TestStoreIsUnavailableAfterTwoFailures(t *testing.T) {
 	var h Health
 	declined := error(&mothferry.ErrDeclined{Operation: "commit", Status: 503})
@@ -164,7 +170,8 @@
 	h.Begin(start)(&mothferry.ErrConflict{}, start.Add(5*time.Millisecond))
 	assert.Assert(t, !h.Unavailable(start))
 
-	// A call that has no answer while later ones have is lost; the store is there.
+	// A call without an answer is ignored once a later one was answered: the store is
+	// available.
 	end := h.Begin(start)
 	later := start.Add(100 * time.Millisecond)
 	h.Begin(later)(nil, later.Add(5*time.Millisecond))
@@ -178,7 +185,8 @@
 	assert.Assert(t, h.Unavailable(silent.Add(unresponsiveAfter)))
 }
 
-// Failure guarded against: a store that is slow for all counts as silent, and all hosts ask each other.
+// A store that is slow for all hosts must not count as unresponsive, or all hosts would ask
+// each other.
 func TestSlowStoreIsAvailable(t *testing.T) {
 	var h Health
 	h.Begin(start)(nil, start.Add(400*time.Millisecond))
@@ -188,7 +196,8 @@
 	assert.Assert(t, h.Unavailable(next.Add(1200*time.Millisecond)))
 }
 
-// Failure guarded against: a refusal of a job that may be stored, by this host or by a peer, or an answer that is known is thrown away.
+// A job that may be stored, by this host or a peer, must not be reported as refused, and a
+// known outcome must not be replaced by another.
 func TestCombineAnswers(t *testing.T) {
 	all := []mfintake.Outcome{
 		"", mfintake.OutcomeDone, mfintake.OutcomeNotRun, mfintake.OutcomeUnknown, mfintake.OutcomeNoJob, mfintake.OutcomeIDTaken,
@@ -197,12 +206,12 @@
 	for _, k := range []Kind{KindAccept, KindState, KindCancel} {
 		for _, own := range all {
 			for _, peer := range peers {
-				for _, unclear := range []bool{false, true} {
-					a := combineAnswers(k, Answer{Outcome: own}, Answer{Outcome: peer}, unclear)
-					what := fmt.Sprintf("%s: own %q, peer %q, unclear %v: %q", k, own, peer, unclear, a.Outcome)
+				for _, unresolved := range []bool{false, true} {
+					a := combineAnswers(k, Answer{Outcome: own}, Answer{Outcome: peer}, unresolved)
+					what := fmt.Sprintf("%s: own %q, peer %q, unresolved %v: %q", k, own, peer, unresolved, a.Outcome)
 					refused := a.Outcome == mfintake.OutcomeNotRun || a.Outcome == OutcomeNoKey
-					mayBe := own == mfintake.OutcomeUnknown || peer == mfintake.OutcomeUnknown || k == KindAccept && unclear
-					assert.Assert(t, !refused || !mayBe, what)
+					mayBeStored := own == mfintake.OutcomeUnknown || peer == mfintake.OutcomeUnknown || k == KindAccept && unresolved
+					assert.Assert(t, !refused || !mayBeStored, what)
 					assert.Assert(t, own != mfintake.OutcomeDone || a.Outcome == mfintake.OutcomeDone, what)
 					assert.Assert(t, a.Outcome != mfintake.OutcomeDone || own == mfintake.OutcomeDone || peer == mfintake.OutcomeDone, what)
 					assert.Assert(t, k != KindState || a.Outcome != mfintake.OutcomeNotRun, what)
@@ -215,7 +224,8 @@
 	}
 }
 
-// Failure guarded against: a message of another program's version is taken for something that it does not say.
+// Outcomes survive encoding and decoding; an outcome without a wire value is decoded as
+// unknown.
 func TestReplyRoundTrip(t *testing.T) {
 	for o := range outcomeToWire {
 		assert.Equal(t, decodeReply(encodeReply(Answer{Outcome: o, RetryAfter: time.Second}, true)), Answer{Outcome: o, RetryAfter: time.Second})
--- a/mfforward/client.go
+++ b/mfforward/client.go
@@ -14,36 +14,38 @@
 	"mothferry/mfrecord"
 )
 
-// Bounds of what one host passes on.
 const (
-	// maxCalls bounds the calls that are passed on at a time, eachCalls those to one
-	// peer, which has callers of its own.
+	// maxCalls bounds the concurrent calls that this host forwards, maxCallsPerPeer those to
+	// one peer, which has callers of its own.
 	maxCalls        = 96
 	maxCallsPerPeer = 32
-	// maxSubmissionsBytes bounds the jobs in them.
+	// maxSubmissionsBytes bounds the submissions of these calls together, maxSubmissionBytes
+	// each of them.
 	maxSubmissionsBytes = 8 << 20
 	maxSubmissionBytes  = maxFrame / 2
 	// maxPeersAsked is how many peers are asked for one call.
 	maxPeersAsked = 4
-	// lookupTimeout bounds a look-up at one peer, so that another can be asked; hand-ins and
-	// cancels go to one peer and wait as long as their caller, up to writeWithin.
+	// lookupTimeout bounds a look-up at one peer, so that another can be asked. Submissions and
+	// cancels go to one peer and wait as long as their caller, up to writeTimeout.
 	lookupTimeout = 600 * time.Millisecond
 	writeTimeout  = 2 * time.Second
-	// probeInterval is how often a host that is turned away looks for a peer without a call.
+	// probeInterval is how often a host that the store does not serve checks, apart from calls,
+	// whether it has a peer to use.
 	probeInterval = 150 * time.Millisecond
-	// maxLogLinesPerSecond bounds the lines a second about calls; the next line tells how many
-	// were left out.
+	// maxLogLinesPerSecond bounds the log lines about calls; the next line tells how many were
+	// left out.
 	maxLogLinesPerSecond = 50
 )
 
-// Client passes calls on to peers. The exported fields are set before use.
+// Client forwards calls to peers. The exported fields are set before use.
 type Client struct {
 	Daemon     mothferry.DaemonID
 	DataCentre mothferry.DataCentre
 	Health     *Health
 	Clock      mothferry.Clock
 	Log        *log.Entry
-	// OnForwarded counts calls by their kind and outcome; it may be nil.
+	// OnForwarded is called with the kind and outcome of each call except counts of pending
+	// jobs; it may be nil.
 	OnForwarded func(kind Kind, outcome mfintake.Outcome)
 
 	mutex sync.Mutex
@@ -52,20 +54,20 @@
 	calls int
 	bytes int
 	ctx   context.Context
-	// logged counts the lines since a time, leftOut those that were not written.
+	// logged counts the lines since loggedSince, suppressed those that were left out.
 	logged      int
 	loggedSince time.Time
 	suppressed  int
 }
 
-// SetHosts replaces the hosts that are known.
+// SetHosts replaces the known hosts.
 func (c *Client) SetHosts(hosts []mfrecord.Host) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.ensurePeers().Set(hosts)
 }
 
-// ensurePeers returns the peers; the mutex is held.
+// ensurePeers returns the peers, which it creates on first use; the mutex is held.
 func (c *Client) ensurePeers() *Peers {
 	if c.peers == nil {
 		c.peers = NewPeers(c.Daemon, c.DataCentre)
@@ -74,8 +76,8 @@
 	return c.peers
 }
 
-// Run lets calls be passed on until ctx ends. While the store turns this host away it
-// keeps a link to a peer, so that it is known whether calls can be served.
+// Run enables forwarding until ctx ends. While the store does not serve this host, it keeps a
+// link to a peer, so that Ready reports whether calls can be served.
 func (c *Client) Run(ctx context.Context) error {
 	c.mutex.Lock()
 	c.ctx = ctx
@@ -95,12 +97,12 @@
 func (c *Client) probe(l *link) {
 	<-l.ready
 	if l.dialErr == nil {
-		// A peer that does not answer is lost at the link's next beat.
+		// An unresponsive peer is lost at the link's next heartbeat.
 		_, _, _ = l.exchange(&mfwire.Call{}, heartbeatTimeout)
 	}
 }
 
-// Ready reports whether there is a peer that said lately that the store serves it.
+// Ready reports whether a peer reported recently that the store serves it.
 func (c *Client) Ready() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -112,7 +114,8 @@
 	return false
 }
 
-// nextLink returns a link to the peer to ask next, and what ends its use; false if there is none.
+// nextLink returns a link to the peer to ask next and a function that ends its use, or false if
+// there is none.
 func (c *Client) nextLink(asked []mothferry.DaemonID) (l *link, done func(), ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,7 +139,7 @@
 	return l, done, true
 }
 
-// retire takes a link away if it is idle.
+// retire removes a link if it is idle, and reports whether it was.
 func (c *Client) retire(l *link) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,7 +150,7 @@
 	return true
 }
 
-// runLink runs a link until it ends.
+// runLink runs a link until it ends, and then removes it.
 func (c *Client) runLink(ctx context.Context, l *link) {
 	err := l.run(ctx)
 	c.mutex.Lock()
@@ -157,7 +160,7 @@
 	}
 	if err != nil && ctx.Err() == nil {
 		c.peers.RecordLoss(l.host.Daemon, c.Clock.Now())
-		c.Log.WithError(err).WithField("peer", l.host.Daemon).WithField("calls", l.calls()).Warn("peer is lost")
+		c.Log.WithError(err).WithField("peer", l.host.Daemon).WithField("calls", l.calls()).Warn("peer lost")
 	}
 }
 
@@ -167,9 +170,9 @@
 	c.peers.RecordStatus(l.host.Daemon, serving, c.Clock.Now())
 }
 
-// Forward has a peer carry a call out, within the deadline of ctx.
+// Forward has a peer execute a call, within the deadline of ctx.
 func (c *Client) Forward(ctx context.Context, call Call) Answer {
-	began := c.Clock.Now()
+	start := c.Clock.Now()
 	peer, answer := c.forward(ctx, call)
 	if call.Kind == kindCount {
 		return answer
@@ -182,13 +185,14 @@
 		return answer
 	}
 	c.Log.WithFields(log.Fields{
-		"job": call.Job, "kind": call.Kind, "peer": peer, "outcome": reportedOutcome(answer.Outcome), "took_ms": c.Clock.Now().Sub(began).Milliseconds(),
+		"job": call.Job, "kind": call.Kind, "peer": peer, "outcome": reportedOutcome(answer.Outcome), "took_ms": c.Clock.Now().Sub(start).Milliseconds(),
 		"left_out": leftOut,
 	}).Info("call is passed on to a peer")
 	return answer
 }
 
-// allowLog reports whether a line about a call may be written, and how many were not.
+// allowLog reports whether a line about a call may be logged, and how many were left out before
+// it.
 func (c *Client) allowLog() (leftOut int, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -204,11 +208,11 @@
 	return leftOut, true
 }
 
-// forward returns the last peer that was asked too.
+// forward also returns the peer that was asked last.
 func (c *Client) forward(ctx context.Context, call Call) (mothferry.DaemonID, Answer) {
 	message, err := encodeCall(call, 0)
 	if err != nil {
-		c.Log.WithError(err).WithField("job", call.Job).Error("call can't be passed on")
+		c.Log.WithError(err).WithField("job", call.Job).Error("encode call for a peer failed")
 		return "", Answer{Outcome: OutcomeNoPeer}
 	}
 	size := len(message.GetSubmission())
@@ -220,8 +224,8 @@
 	var asked []mothferry.DaemonID
 	var peer mothferry.DaemonID
 	for len(asked) < maxPeersAsked {
-		within := c.callTimeout(ctx, call.Kind)
-		if within <= 0 {
+		timeout := c.callTimeout(ctx, call.Kind)
+		if timeout <= 0 {
 			break
 		}
 		l, done, ok := c.nextLink(asked)
@@ -230,13 +234,13 @@
 		}
 		peer = l.host.Daemon
 		asked = append(asked, peer)
-		message.WithinMs = within.Milliseconds()
+		message.WithinMs = timeout.Milliseconds()
 		<-l.ready
 		if l.dialErr != nil {
 			done()
 			continue
 		}
-		reply, sent, err := l.exchange(message, within)
+		reply, sent, err := l.exchange(message, timeout)
 		done()
 		switch {
 		case err != nil && !sent:
@@ -254,14 +258,14 @@
 }
 
 func (c *Client) callTimeout(ctx context.Context, k Kind) time.Duration {
-	most := writeTimeout
+	limit := writeTimeout
 	if k.readOnly() {
-		most = lookupTimeout
+		limit = lookupTimeout
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		return min(most, time.Until(deadline))
+		return min(limit, time.Until(deadline))
 	}
-	return most
+	return limit
 }
 
 func (c *Client) beginCall(size int) bool {
--- a/mfforward/health.go
+++ b/mfforward/health.go
@@ -9,43 +9,42 @@
 	"mothferry"
 )
 
-// Figures of what a host takes for the store's turning it away.
 const (
-	// failureThreshold is how many calls in a row fail until the store counts as not
-	// serving this host: a single one is lost or refused on a store that is well too.
+	// failureThreshold is how many consecutive calls must fail before the store counts as
+	// unavailable to this host: a single one may be lost or refused by a healthy store too.
 	failureThreshold = 2
-	// failureTTL is after how long without a failed call that no longer holds. A host
-	// reads who owns the shard three times a second.
+	// failureTTL is how long after the last failed call the store still counts as unavailable.
+	// A host reads the shard's owner three times a second.
 	failureTTL = 3 * time.Second
-	// unresponsiveAfter is after how long without an answer to a call, and to any later one, the
-	// store counts as silent: sooner than calls time out, as a caller waits for as
-	// long as they do. On a slow store it is slowFactor times what the last answer took.
+	// unresponsiveAfter is how long a call and all later ones may go without an answer before
+	// the store counts as unresponsive. It is shorter than the timeout of calls, as a caller
+	// waits for as long as they do. On a slow store it is slowFactor times the duration of the
+	// last answered call.
 	unresponsiveAfter = 300 * time.Millisecond
 	slowFactor        = 3
-	// trialInterval is how often a look-up is tried at a store that turns this host away: a
-	// read of the shard's owner that was lost shows only after its time-out that the
-	// store is back.
+	// trialInterval is how often a look-up is tried at an unavailable store: a read of the
+	// shard's owner that was lost shows only after its timeout that the store is back.
 	trialInterval = 250 * time.Millisecond
 )
 
-// Health is what a host saw lately of its own calls to the store. The zero value is
+// Health tracks the recent results of this host's own calls to the store. The zero value is
 // ready for use.
 type Health struct {
 	mutex       sync.Mutex
 	failures    int
 	lastFailure time.Time
-	// lastAnsweredStart is when the call began that was answered last; calls to the store that
-	// began before it and have no answer say nothing.
+	// lastAnsweredStart is the latest start of an answered call; calls that started before it
+	// and have no answer are ignored.
 	lastAnsweredStart time.Time
 	lastLatency       time.Duration
 	pending           map[int]time.Time
 	lastID            int
-	// lastTrial is when a call was last let through as a trial.
+	// lastTrial is when AllowTrial last let a look-up through.
 	lastTrial time.Time
 }
 
-// Begin notes that a call to the store begins. What it returns is to be called with
-// the call's end; a conflict is an answer.
+// Begin records the start of a call to the store. The function it returns is to be called with
+// the call's result; a conflict counts as an answer.
 func (h *Health) Begin(now time.Time) func(err error, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -53,22 +52,22 @@
 		h.pending = map[int]time.Time{}
 	}
 	h.lastID++
-	number := h.lastID
-	h.pending[number] = now
-	return func(err error, now time.Time) { h.end(number, err, now) }
+	id := h.lastID
+	h.pending[id] = now
+	return func(err error, now time.Time) { h.end(id, err, now) }
 }
 
-func (h *Health) end(number int, err error, now time.Time) {
+func (h *Health) end(id int, err error, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	began := h.pending[number]
-	delete(h.pending, number)
+	start := h.pending[id]
+	delete(h.pending, id)
 	var conflict *mothferry.ErrConflict
 	switch {
 	case err == nil || errors.As(err, &conflict):
-		h.failures, h.lastLatency = 0, now.Sub(began)
-		if began.After(h.lastAnsweredStart) {
-			h.lastAnsweredStart = began
+		h.failures, h.lastLatency = 0, now.Sub(start)
+		if start.After(h.lastAnsweredStart) {
+			h.lastAnsweredStart = start
 		}
 	case !errors.Is(err, context.Canceled):
 		h.failures++
@@ -76,11 +75,11 @@
 	}
 }
 
-// Unavailable reports whether the store turns this host away or can't be reached.
+// Unavailable reports whether the store does not serve this host or can't be reached.
 //
-// The load it answers: a store that serves a part of the hosts only. Each call that is
-// sent to it all the same costs its caller the time until it fails. Reads of the
-// shard's owner go on meanwhile, and the first that succeeds ends it.
+// The store may serve only some of the hosts. Each call that is sent to it regardless costs its
+// caller the time until it fails. Reads of the shard's owner continue meanwhile, and the first
+// that succeeds ends the state.
 func (h *Health) Unavailable(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -91,17 +90,16 @@
 	if h.failures >= failureThreshold && now.Sub(h.lastFailure) < failureTTL {
 		return true
 	}
-	patience := max(unresponsiveAfter, slowFactor*h.lastLatency)
-	for _, began := range h.pending {
-		if began.After(h.lastAnsweredStart) && now.Sub(began) >= patience {
+	limit := max(unresponsiveAfter, slowFactor*h.lastLatency)
+	for _, start := range h.pending {
+		if start.After(h.lastAnsweredStart) && now.Sub(start) >= limit {
 			return true
 		}
 	}
 	return false
 }
 
-// AllowTrial reports whether a look-up may go to a store that turns this host away. It does
-// so once each trialEvery.
+// AllowTrial reports whether a look-up may go to an unavailable store, once per trialInterval.
 func (h *Health) AllowTrial(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -112,7 +110,7 @@
 	return true
 }
 
-// Serving reports whether the store has answered this host and does not turn it away.
+// Serving reports whether the store has answered this host and is available to it.
 func (h *Health) Serving(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/mfforward/link.go
+++ b/mfforward/link.go
@@ -18,12 +18,11 @@
 	"mothferry/mfsession"
 )
 
-// Times and bounds of a link.
 const (
-	// dialTimeout bounds the making of a connection: its caller waits.
+	// dialTimeout bounds the dialling of a connection, which a caller waits for.
 	dialTimeout = 300 * time.Millisecond
-	// heartbeatInterval is how often a peer is asked for a sign, beatWithin how long that may
-	// take. Every call of the link ends with it if it does not come.
+	// heartbeatInterval is how often a peer is sent a heartbeat, heartbeatTimeout how long its
+	// reply may take. Without a reply the link and all its calls end.
 	heartbeatInterval = 250 * time.Millisecond
 	heartbeatTimeout  = 450 * time.Millisecond
 	// idleTimeout is after how long without a call a link is closed.
@@ -36,25 +35,25 @@
 type link struct {
 	host  mfrecord.Host
 	clock mothferry.Clock
-	// onStatus is told of each sign of the peer whether the store serves it.
+	// onStatus is called with each reply's report of whether the store serves the peer.
 	onStatus func(serving bool)
 
-	// ready is closed once the connection is made or could not be.
+	// ready is closed once the connection is made or has failed.
 	ready   chan struct{}
 	session *mfsession.Session
 	dialErr error
-	// retire takes the link away if it is idle, and reports whether it was.
+	// retire removes the link if it is idle, and reports whether it was.
 	retire func() bool
 
 	mutex     sync.Mutex
 	lastUsed  time.Time
 	openCalls int
 	lastHeard time.Time
-	// serving is what the peer said last.
+	// serving is what the peer reported last.
 	serving bool
 }
 
-// run connects and keeps the link until it is idle, silent or ctx ends.
+// run connects and keeps the link until it is idle, the peer is unresponsive or ctx ends.
 func (l *link) run(ctx context.Context) error {
 	err := l.connect(ctx)
 	l.dialErr = err
@@ -68,14 +67,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-l.session.CloseChan():
-			return trace.Errorf("peer ended the connection")
+			return trace.Errorf("peer closed the connection")
 		case <-l.clock.After(heartbeatInterval):
 		}
 		if l.retire() {
 			return nil
 		}
 		if _, _, err := l.exchange(&mfwire.Call{}, heartbeatTimeout); err != nil {
-			return trace.Wrap(err, "peer is silent")
+			return trace.Wrap(err, "heartbeat to peer")
 		}
 	}
 }
@@ -98,7 +97,7 @@
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
-	// Beats find out dead sessions sooner than yamux's own keep-alive.
+	// Heartbeats detect dead sessions sooner than yamux's own keep-alive.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = heartbeatTimeout
 	return config
@@ -110,7 +109,7 @@
 	return l.openCalls == 0 && l.clock.Now().Sub(l.lastUsed) > idleTimeout
 }
 
-// begin counts a call over the link, which keeps it open; the result ends that.
+// begin counts a call, which keeps the link open; the function it returns ends that.
 func (l *link) begin() func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -123,28 +122,29 @@
 	}
 }
 
-// calls returns how many calls the link has.
+// calls returns how many calls are open.
 func (l *link) calls() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.openCalls
 }
 
-// servedRecently reports whether the peer said lately that the store serves it.
+// servedRecently reports whether the peer reported recently that the store serves it.
 func (l *link) servedRecently(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.serving && now.Sub(l.lastHeard) < heartbeatInterval+heartbeatTimeout
 }
 
-// exchange makes one call over an open link. Sent reports whether the peer may have got it.
-func (l *link) exchange(call *mfwire.Call, within time.Duration) (reply *mfwire.Reply, sent bool, err error) {
+// exchange makes one call over an open link. Sent reports whether the peer may have received
+// it.
+func (l *link) exchange(call *mfwire.Call, timeout time.Duration) (reply *mfwire.Reply, sent bool, err error) {
 	stream, err := l.session.OpenStream()
 	if err != nil {
 		return nil, false, trace.Wrap(err)
 	}
 	defer func() { _ = stream.Close() }()
-	if err := stream.SetDeadline(time.Now().Add(within)); err != nil {
+	if err := stream.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, false, trace.Wrap(err)
 	}
 	if _, err := protodelim.MarshalTo(stream, call); err != nil {
--- a/mfforward/message.go
+++ b/mfforward/message.go
@@ -26,7 +26,7 @@
 	OutcomeLimit: mfwire.Outcome_OUTCOME_LIMIT, OutcomeNoKey: mfwire.Outcome_OUTCOME_NO_KEY, outcomeUnserved: mfwire.Outcome_OUTCOME_AWAY,
 }
 
-// encodeCall returns the message of a call.
+// encodeCall returns the wire message of a call.
 func encodeCall(c Call, within time.Duration) (*mfwire.Call, error) {
 	m := &mfwire.Call{
 		Kind: kindToWire[c.Kind], Job: string(c.Job), Account: string(c.Account), Unclear: c.Unresolved, WithinMs: within.Milliseconds(),
@@ -43,7 +43,7 @@
 	return m, err
 }
 
-// decodeCall reads a call that has a kind.
+// decodeCall decodes a call that has a kind.
 func decodeCall(m *mfwire.Call) (Call, error) {
 	c := Call{
 		Caller: Caller{Account: mothferry.AccountID(m.GetAccount()), Config: mothferry.Version(m.GetConfig())},
@@ -66,7 +66,7 @@
 	return &mfwire.Reply{Outcome: outcomeToWire[a.Outcome], State: string(a.State), Count: int64(a.Count), AgainMs: a.RetryAfter.Milliseconds(), Serving: serving}
 }
 
-// decodeReply reads an answer. An outcome that this program does not know is unknown.
+// decodeReply decodes an answer. An outcome that this version does not know becomes unknown.
 func decodeReply(m *mfwire.Reply) Answer {
 	a := Answer{Outcome: mfintake.OutcomeUnknown, State: mfjob.State(m.GetState()), Count: int(m.GetCount()), RetryAfter: time.Duration(m.GetAgainMs()) * time.Millisecond}
 	for outcome, wire := range outcomeToWire {
--- a/mfforward/release.go
+++ b/mfforward/release.go
@@ -13,16 +13,16 @@
 	"mothferry/mfrecord"
 )
 
-// releaseTimeout bounds the giving up of a shard by a peer; its owner goes on meanwhile.
+// releaseTimeout bounds the release of a shard via a peer; its owner goes on meanwhile.
 const releaseTimeout = 500 * time.Millisecond
 
-// Release has a peer store that the shard has no owner any more, for the owner whose
-// head has a version. It reports whether that is surely stored: where it is not it may
-// be yet, and the owner finds out by its next commit.
+// Release has a peer store that the shard has no owner, on behalf of the owner whose head has
+// the given version. It reports whether that is confirmed: otherwise it may still be stored,
+// and the owner finds out by its next commit.
 func (c *Client) Release(ctx context.Context, head mfrecord.Head, version mothferry.Version) bool {
 	data, err := head.Encode()
 	if err != nil {
-		c.Log.WithError(err).Error("shard can't be given up by a peer")
+		c.Log.WithError(err).Error("encode head for shard release failed")
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
@@ -42,16 +42,16 @@
 	if err == nil {
 		answer = decodeReply(reply)
 	}
-	c.Log.WithFields(log.Fields{"epoch": head.Epoch, "version": version, "peer": l.host.Daemon, "outcome": answer.Outcome}).Info("shard is given up by a peer")
+	c.Log.WithFields(log.Fields{"epoch": head.Epoch, "version": version, "peer": l.host.Daemon, "outcome": answer.Outcome}).Info("shard release requested via a peer")
 	return answer.Outcome == mfintake.OutcomeDone
 }
 
-// release stores that the shard has no owner. It takes effect only if the head is as
-// its owner knew it, so that one that comes late gives up nobody else's shard.
+// release stores that the shard has no owner, provided that the head is still the one that its
+// owner knew: a late request must not release the shard of another owner.
 func (s *Server) release(ctx context.Context, message *mfwire.Call) mfintake.Outcome {
 	head, err := mfrecord.DecodeHead(message.GetHead())
 	if err != nil || head.Holder != "" || message.GetVersion() == 0 {
-		s.Log.WithError(err).Error("another host's giving up is malformed")
+		s.Log.WithError(err).Error("malformed shard release from another host")
 		return mfintake.OutcomeNotRun
 	}
 	if !s.serving() {
--- a/mfforward/router.go
+++ b/mfforward/router.go
@@ -10,18 +10,16 @@
 	"mothferry/mfrecord"
 )
 
-// Figures of a router.
 const (
-	// healthCheckInterval is how often it is looked whether the store is silent, while a call
-	// has no answer.
+	// healthCheckInterval is how often the store is checked for unresponsiveness while a call has
+	// no answer.
 	healthCheckInterval = 50 * time.Millisecond
-	// confirmTimeout bounds the read that tells a call that failed by itself from a store
-	// that turns this host away.
+	// confirmTimeout bounds the read that tells a single failed call from an unavailable store.
 	confirmTimeout = 250 * time.Millisecond
 )
 
-// Router serves callers by the own store, or by a peer while the store turns this
-// host away. Without a client it is by the own store alone. The exported fields are set before use.
+// Router serves callers by this host's store, or by a peer while the store is unavailable to
+// this host. Without a client it uses the store alone. The exported fields are set before use.
 type Router struct {
 	Intake *mfintake.Intake
 	Client *Client
@@ -30,16 +28,16 @@
 	Clock  mothferry.Clock
 }
 
-// Accept stores a job. Again is when a job that was refused for want of room may come
-// back; zero if the refusal has another reason.
-func (r *Router) Accept(ctx context.Context, id mothferry.JobID, s mfjob.Submission, by Caller) (outcome mfintake.Outcome, again time.Duration) {
+// Accept stores a job. RetryAfter is when a job that was refused for lack of capacity may be
+// retried; zero if the refusal has another reason.
+func (r *Router) Accept(ctx context.Context, id mothferry.JobID, s mfjob.Submission, by Caller) (outcome mfintake.Outcome, retryAfter time.Duration) {
 	a := r.serve(ctx, Call{Caller: by, Kind: KindAccept, Job: id, Submission: s}, func() Answer {
 		return Answer{Outcome: r.Intake.Accept(ctx, id, s)}
 	})
 	return a.Outcome, a.RetryAfter
 }
 
-// State looks a job up for a caller of an account.
+// State looks up a job for a caller of an account.
 func (r *Router) State(ctx context.Context, id mothferry.JobID, by Caller) (mfjob.State, mfintake.Outcome) {
 	a := r.serve(ctx, Call{Kind: KindState, Job: id, Caller: by}, func() Answer {
 		state, outcome := r.Intake.State(ctx, id, by.Account)
@@ -48,15 +46,15 @@
 	return a.State, a.Outcome
 }
 
-// Cancel stores the cancel of a job by a caller of an account.
+// Cancel stores the cancellation of a job by a caller of an account.
 func (r *Router) Cancel(ctx context.Context, id mothferry.JobID, by Caller) mfintake.Outcome {
 	return r.serve(ctx, Call{Kind: KindCancel, Job: id, Caller: by}, func() Answer {
 		return Answer{Outcome: r.Intake.Cancel(ctx, id, by.Account)}
 	}).Outcome
 }
 
-// Pending returns how many accepted jobs of a queue have not begun, as the shard's owner
-// last told this host, or a peer while the store turns this one away.
+// Pending returns how many accepted jobs of a queue have not started, as the shard's owner last
+// published to this host, or to a peer while the store is unavailable to this one.
 func (r *Router) Pending(ctx context.Context, queue mothferry.QueueID, by Caller) (int, bool) {
 	count, ok := r.Intake.Pending(queue)
 	if ok || r.Client == nil || !r.Health.Unavailable(r.Clock.Now()) {
@@ -66,31 +64,31 @@
 	return a.Count, a.Outcome == mfintake.OutcomeDone
 }
 
-// serve makes a call by own, and by a peer if the store turns this host away.
+// serve makes a call by own, and by a peer if the store is unavailable to this host.
 //
-// The load it answers: a host whose callers are refused, or wait, while its peers
-// would serve them. One call that fails by itself is no reason: peers would get the
-// same load from all hosts when the store has too much.
+// Otherwise the callers of this host would be refused, or wait, while its peers could serve
+// them. A single failed call is not sufficient: when the store is overloaded, peers would get
+// the same load from all hosts.
 func (r *Router) serve(ctx context.Context, call Call, own func() Answer) Answer {
-	var first Answer
-	var late chan Answer
+	var ownAnswer Answer
+	var ownResult chan Answer
 	if r.Client == nil {
 		return own()
 	}
 	now := r.Clock.Now()
 	if !r.Health.Unavailable(now) || call.Kind == KindState && r.Health.AllowTrial(now) {
-		late = make(chan Answer, 1)
-		go func() { late <- own() }()
+		ownResult = make(chan Answer, 1)
+		go func() { ownResult <- own() }()
 		var ended bool
-		if first, ended = r.await(late); ended && !failed(first) {
-			return first
+		if ownAnswer, ended = r.await(ownResult); ended && !failed(ownAnswer) {
+			return ownAnswer
 		}
 		if !ended {
-			first = Answer{Outcome: mfintake.OutcomeUnknown}
+			ownAnswer = Answer{Outcome: mfintake.OutcomeUnknown}
 		} else if !r.confirmUnavailable(ctx) {
-			return first
+			return ownAnswer
 		}
-		if call.Kind == KindAccept && first.Outcome == mfintake.OutcomeUnknown {
+		if call.Kind == KindAccept && ownAnswer.Outcome == mfintake.OutcomeUnknown {
 			r.Intake.MarkUnresolved(call.Job)
 		}
 	}
@@ -100,18 +98,17 @@
 		r.Intake.MarkUnresolved(call.Job)
 	}
 	select {
-	case first = <-late:
+	case ownAnswer = <-ownResult:
 	default:
 	}
-	return combineAnswers(call.Kind, first, peer, r.Intake.Unresolved(call.Job))
+	return combineAnswers(call.Kind, ownAnswer, peer, r.Intake.Unresolved(call.Job))
 }
 
 func failed(a Answer) bool {
 	return a.Outcome == mfintake.OutcomeNotRun || a.Outcome == mfintake.OutcomeUnknown
 }
 
-// await returns the own attempt's answer, or false once the store is silent for longer
-// than calls take.
+// await returns the answer of this host's own attempt, or false once the store is unavailable.
 func (r *Router) await(own <-chan Answer) (Answer, bool) {
 	for {
 		select {
@@ -125,7 +122,7 @@
 	}
 }
 
-// confirmUnavailable reports whether the store turns this host away, of which one call failed.
+// confirmUnavailable reports whether the store is unavailable, after one call has failed.
 func (r *Router) confirmUnavailable(ctx context.Context) bool {
 	if r.Health.Unavailable(r.Clock.Now()) {
 		return true
--- a/mfforward/server.go
+++ b/mfforward/server.go
@@ -18,19 +18,18 @@
 	"mothferry/mfsession"
 )
 
-// Bounds of what a peer carries out for others.
 const (
-	// maxServedCalls bounds the calls at a time, of all hosts.
+	// maxServedCalls bounds the concurrent calls of all other hosts together.
 	maxServedCalls = 128
-	// sessionIdleTimeout is after how long without a stream a session is closed: its host
-	// sends a beat each beatEvery.
+	// sessionIdleTimeout is after how long without a new stream a session is closed: its host
+	// sends a heartbeat each heartbeatInterval.
 	sessionIdleTimeout = 10 * time.Second
 	// ioTimeout bounds the reading of a call, and the writing of its answer.
 	ioTimeout = time.Second
 )
 
-// Server carries out calls that other hosts pass on, by this host's store. The
-// exported fields are set before Run.
+// Server executes calls that other hosts forward, by this host's store. The exported fields are
+// set before Run.
 type Server struct {
 	Address string
 	Intake  *mfintake.Intake
@@ -40,14 +39,16 @@
 	Health *Health
 	Clock  mothferry.Clock
 	Log    *log.Entry
-	// OnServed counts calls by their kind and outcome; it may be nil.
+	// OnServed is called with the kind and outcome of each call except counts of pending jobs;
+	// it may be nil.
 	OnServed func(kind Kind, outcome mfintake.Outcome)
 
 	openCalls atomic.Int64
 	leaving   atomic.Bool
 }
 
-// Leave tells other hosts that this one is about to stop: what it has is still answered.
+// Leave makes this host report that the store does not serve it, as it is about to stop. Calls
+// that it already has are still answered.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
 // Run serves until ctx ends.
@@ -80,26 +81,26 @@
 	stop := context.AfterFunc(ctx, func() { _ = session.Close() })
 	defer stop()
 	defer cancel()
-	silent := time.AfterFunc(sessionIdleTimeout, cancel)
-	defer silent.Stop()
+	idle := time.AfterFunc(sessionIdleTimeout, cancel)
+	defer idle.Stop()
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
 			_ = session.Close()
 			return
 		}
-		silent.Reset(sessionIdleTimeout)
+		idle.Reset(sessionIdleTimeout)
 		go s.answer(ctx, stream)
 	}
 }
 
-// answer serves one call.
+// answer serves the one call of a stream.
 func (s *Server) answer(ctx context.Context, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
 	_ = stream.SetReadDeadline(time.Now().Add(ioTimeout))
 	var message mfwire.Call
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxFrame}).UnmarshalFrom(bufio.NewReader(stream), &message); err != nil {
-		s.Log.WithError(err).Info("call of another host can't be read")
+		s.Log.WithError(err).Info("read call from another host failed")
 		return
 	}
 	var a Answer
@@ -110,15 +111,15 @@
 		defer cancel()
 		a.Outcome = s.release(ctx, &message)
 	default:
-		within := min(writeTimeout, time.Duration(message.GetWithinMs())*time.Millisecond)
-		// A call goes on when its host is lost: what it stores is stored.
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), within)
+		timeout := min(writeTimeout, time.Duration(message.GetWithinMs())*time.Millisecond)
+		// A call continues when its host is lost: its write takes effect all the same.
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 		defer cancel()
 		a = s.handle(ctx, &message)
 	}
 	_ = stream.SetWriteDeadline(time.Now().Add(ioTimeout))
 	if _, err := protodelim.MarshalTo(stream, encodeReply(a, s.serving())); err != nil {
-		s.Log.WithError(err).WithField("job", message.GetJob()).Info("answer can't be returned to another host")
+		s.Log.WithError(err).WithField("job", message.GetJob()).Info("write answer to another host failed")
 	}
 }
 
@@ -129,7 +130,7 @@
 	var a Answer
 	switch {
 	case err != nil || call.Kind == "":
-		s.Log.WithError(err).WithField("job", message.GetJob()).Error("call of another host is malformed")
+		s.Log.WithError(err).WithField("job", message.GetJob()).Error("malformed call from another host")
 		a.Outcome = mfintake.OutcomeNotRun
 	case !s.serving():
 		a.Outcome = outcomeUnserved
@@ -146,8 +147,8 @@
 	return a
 }
 
-// execute makes a call at this host's store. A job is judged by this host's word of
-// the shard's owner: the one that got it hears no newer one.
+// execute makes a call at this host's store. A job is evaluated by the head that the shard's
+// owner last published to this host: the host that received the job gets no newer one.
 func (s *Server) execute(ctx context.Context, call Call) Answer {
 	c := s.Config()
 	newer := c != nil && c.Version >= call.Config
@@ -173,8 +174,8 @@
 		return Answer{Outcome: mfintake.OutcomeNotRun}
 	}
 	if ok && !call.Unresolved {
-		if again, refused := s.Intake.Refuse(ctx, call.Job, queue, call.Submission); refused {
-			return Answer{Outcome: mfintake.OutcomeNotRun, RetryAfter: max(again, time.Millisecond)}
+		if retryAfter, refused := s.Intake.Refuse(ctx, call.Job, queue, call.Submission); refused {
+			return Answer{Outcome: mfintake.OutcomeNotRun, RetryAfter: max(retryAfter, time.Millisecond)}
 		}
 	}
 	return Answer{Outcome: s.Intake.Accept(ctx, call.Job, call.Submission)}
--- a/mfforward/server_test.go
+++ b/mfforward/server_test.go
@@ -28,7 +28,7 @@
 	return l.Addr().String()
 }
 
-// startPeer starts a server whose store is well.
+// startPeer starts a server whose store is healthy.
 func startPeer(t *testing.T, rows mothferry.RowStore, config *mfqueue.Config) *Server {
 	t.Helper()
 	health := &Health{}
@@ -49,7 +49,7 @@
 	return s
 }
 
-// startClient starts a client that knows peers by their addresses.
+// startClient starts a client with peers at the given addresses.
 func startClient(t *testing.T, addresses ...string) *Client {
 	t.Helper()
 	c := &Client{Daemon: "own", DataCentre: "a", Health: &Health{}, Clock: mfclock.System{}, Log: mflog.Discard()}
@@ -79,7 +79,8 @@
 	}
 }
 
-// Failure guarded against: a key or a queue that was taken away goes on at a host that the store turns away, which hears of no new config.
+// A key or queue that was removed must not stay usable at a host that the store does not serve
+// and that therefore receives no new config.
 func TestPeerChecksKeyAndQueueByNewerConfig(t *testing.T) {
 	accounts := mfaccount.NewDirectory()
 	accounts.Add(mfaccount.Account{ID: "one"}, "kept")
@@ -97,7 +98,7 @@
 		{"q", &kept, 5, mfintake.OutcomeDone},
 		{"q", &gone, 5, OutcomeNoKey},
 		{"gone", &kept, 5, mfintake.OutcomeNotRun},
-		// The peer has not heard of the config by which these were found.
+		// The peer does not have the config by which these were looked up.
 		{"q", &gone, 8, mfintake.OutcomeDone},
 		{"gone", &kept, 8, mfintake.OutcomeDone},
 	} {
@@ -110,15 +111,16 @@
 	}
 }
 
-// Failure guarded against: a peer that stands still holds callers for as long as they wait, and a look-up is not made elsewhere.
+// An unresponsive peer must not hold callers for as long as they wait, and a look-up must be
+// made at another peer.
 func TestUnresponsivePeerTimesOut(t *testing.T) {
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer still.Close()
+	defer frozen.Close()
 	rows := &mfstandin.Rows{}
 	s := startPeer(t, rows, nil)
 	for _, kind := range []Kind{KindAccept, KindState, KindCancel} {
-		c := startClient(t, still.Addr().String())
+		c := startClient(t, frozen.Addr().String())
 		c.ensurePeers().RecordStatus("peer-0", true, time.Now())
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -127,14 +129,15 @@
 		assert.Assert(t, time.Since(began) < heartbeatInterval+heartbeatTimeout+300*time.Millisecond, "%s took %v", kind, time.Since(began))
 		cancel()
 	}
-	c := startClient(t, still.Addr().String(), s.Address)
+	c := startClient(t, frozen.Addr().String(), s.Address)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	a := c.Forward(ctx, Call{Kind: KindState, Job: "0000000000000001"})
 	assert.Equal(t, a.Outcome, mfintake.OutcomeNoJob)
 }
 
-// Failure guarded against: a host passes on more than it may, or a job that a peer can't read.
+// A host must not forward more calls than the limits allow, nor a job that is too large for a
+// peer to read.
 func TestCallsBeyondTheLimitAreRefused(t *testing.T) {
 	s := startPeer(t, &mfstandin.Rows{}, nil)
 	c := startClient(t, s.Address)
@@ -158,7 +161,8 @@
 	assert.Equal(t, a.Outcome, mfintake.OutcomeDone)
 }
 
-// Failure guarded against: giving the shard up comes late, and takes it from its next owner, or gives it to somebody.
+// A release that comes late must not take the shard from its next owner, and no release may set
+// an owner.
 func TestLateReleaseChangesNothing(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	s := startPeer(t, rows, nil)
