--- a/mfforward/choose_test.go
+++ b/mfforward/choose_test.go
@@ -179,10 +179,10 @@
 	end(errors.New("timed out"), start.Add(time.Second))
 	assert.Assert(t, !h.Unavailable(start.Add(time.Second)))
 
-	silent := start.Add(2 * time.Second)
-	h.Begin(silent)
-	assert.Assert(t, !h.Unavailable(silent.Add(unresponsiveAfter-time.Millisecond)))
-	assert.Assert(t, h.Unavailable(silent.Add(unresponsiveAfter)))
+	unanswered := start.Add(2 * time.Second)
+	h.Begin(unanswered)
+	assert.Assert(t, !h.Unavailable(unanswered.Add(unresponsiveAfter-time.Millisecond)))
+	assert.Assert(t, h.Unavailable(unanswered.Add(unresponsiveAfter)))
 }
 
 // A store that is slow for all hosts must not count as unresponsive, or all hosts would ask
--- a/mfforward/router.go
+++ b/mfforward/router.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// healthCheckInterval is how often the store is checked for unresponsiveness while a call has
-	// no answer.
+	// healthCheckInterval is how often the store is checked for unresponsiveness while a call
+	// has no answer.
 	healthCheckInterval = 50 * time.Millisecond
 	// confirmTimeout bounds the read that tells a single failed call from an unavailable store.
 	confirmTimeout = 250 * time.Millisecond
--- a/mfforward/server_test.go
+++ b/mfforward/server_test.go
@@ -63,9 +63,9 @@
 	go func() { _ = c.Run(ctx) }()
 	for {
 		c.mutex.Lock()
-		begun := c.ctx != nil
+		running := c.ctx != nil
 		c.mutex.Unlock()
-		if begun {
+		if running {
 			return c
 		}
 		time.Sleep(time.Millisecond)
