--- a/mffeed/follower.go
+++ b/mffeed/follower.go
@@ -1,10 +1,10 @@
-// Package mffeed keeps up with a table of a row store: it reads the table
-// once, then takes its changes in order.
+// Package mffeed follows a table of a row store: it reads the table once, then takes its
+// changes in order.
 //
-// What it guards against: the store forgets its history (the table is read
-// anew); a connection goes silent for good (each wait has an end of its own,
-// after which another connection is used); the store is out (tries are spaced
-// out and spread, so that hosts don't return all at once).
+// These failures are handled: the store has dropped its history (the table is read again); a
+// connection goes silent for good (each wait has its own timeout, after which another
+// connection is used); the store is down (retries have delays and jitter, so that hosts don't
+// return all at once).
 package mffeed
 
 import (
@@ -21,18 +21,20 @@
 	"mothferry/mflog"
 )
 
-// Pauses after a call that failed: doubled from the shortest to the longest,
-// so that a store that returns sees each host at most four times a second.
+// Retry delays after a failed call, doubled from the minimum to the maximum. They bound how
+// often each host calls a store that returns: four times a second, up to eight times with
+// jitter.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 250 * time.Millisecond
-	// defaultPageRows is how many rows one read asks for. One that has no answer may have asked for
-	// more than the link carries in the time of a call: the next asks for a part of that.
+	// defaultPageRows is how many rows one read asks for. One without an answer may have asked
+	// for more than the link carries within the timeout of a call: the next asks for
+	// 1/pageShrinkFactor of that.
 	defaultPageRows  = 500
 	pageShrinkFactor = 4
 )
 
-// Follower keeps up with one table. The exported fields are set before Run.
+// Follower follows one table. The exported fields are set before Run.
 type Follower struct {
 	Store  mothferry.RowStore
 	Clock  mothferry.Clock
@@ -41,44 +43,45 @@
 	Table  mothferry.TableID
 	// Parts are the parts of the table to read; none stands for the empty part.
 	Parts []mothferry.PartID
-	// Wait is how long the store may hold a call back for a change.
+	// Wait is how long the store may hold a long poll for a change.
 	Wait time.Duration
-	// MinInterval is the shortest time between two calls.
+	// MinInterval is the minimum interval between two calls.
 	MinInterval time.Duration
-	// Apply takes rows in: all rows of the table if whole is set, else changes.
-	// Rows may come twice.
+	// Apply is called with rows: all rows of the table if whole is set, else changes. Rows may
+	// come twice.
 	Apply func(rows []mothferry.Row, whole bool)
-	// OnProgress is told up to when all changes have been applied; it may be nil.
+	// OnProgress is called with the time up to which all changes have been applied; it may be
+	// nil.
 	OnProgress func(upTo time.Time)
 
-	episode mflog.FailureLog
+	failures mflog.FailureLog
 }
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	f.episode.Log = f.Log
-	pause := minRetryDelay
+	f.failures.Log = f.Log
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		err := f.follow(ctx)
-		var gone *mothferry.ErrHistoryGone
-		if errors.As(err, &gone) {
-			f.Log.WithField("table", f.Table).WithField("after", gone.After).Info("history is gone, table is read anew")
-			pause = minRetryDelay
+		var historyGone *mothferry.ErrHistoryGone
+		if errors.As(err, &historyGone) {
+			f.Log.WithField("table", f.Table).WithField("after", historyGone.After).Info("history gone, reading table again")
+			delay = minRetryDelay
 			continue
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		f.episode.Failed(err, "store does not answer for table "+string(f.Table))
-		if !mfclock.Sleep(ctx, f.Clock, f.jitter(pause)) {
+		f.failures.Failed(err, "store does not answer for table "+string(f.Table))
+		if !mfclock.Sleep(ctx, f.Clock, f.jitter(delay)) {
 			break
 		}
-		pause = min(2*pause, maxRetryDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// jitter returns a pause between half of d and d.
+// jitter returns a random delay between half of d and d.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(f.Random.Float64()*float64(d/2))
 }
@@ -93,7 +96,7 @@
 	f.Apply(rows, true)
 	f.reportProgress(asked)
 	for {
-		began := f.Clock.Now()
+		start := f.Clock.Now()
 		page, asked, err := f.changes(ctx, version)
 		if err != nil {
 			return err
@@ -103,18 +106,19 @@
 			f.Apply(page.Rows, false)
 		}
 		f.reportProgress(asked)
-		if rest := f.MinInterval - f.Clock.Now().Sub(began); rest > 0 {
-			if !mfclock.Sleep(ctx, f.Clock, rest) {
+		if remaining := f.MinInterval - f.Clock.Now().Sub(start); remaining > 0 {
+			if !mfclock.Sleep(ctx, f.Clock, remaining) {
 				return ctx.Err()
 			}
 		}
 	}
 }
 
-// changes returns what changed after a version, and when it asked. It asks once more if a call has no answer: a connection that went
-// silent is not a store that is out, and the table need not be read anew.
+// changes returns what changed after a version, and when it asked. It retries a call without an
+// answer: a connection that went silent does not mean that the store is down, and the table
+// need not be read again.
 func (f *Follower) changes(ctx context.Context, version mothferry.Version) (mothferry.RowPage, time.Time, error) {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for {
 		asked := f.Clock.Now()
 		page, err := f.Store.Follow(ctx, f.Table, version, f.Wait)
@@ -122,19 +126,19 @@
 			f.recordAnswer()
 			return page, asked, nil
 		}
-		var gone *mothferry.ErrHistoryGone
-		if errors.As(err, &gone) || ctx.Err() != nil {
+		var historyGone *mothferry.ErrHistoryGone
+		if errors.As(err, &historyGone) || ctx.Err() != nil {
 			return page, asked, err
 		}
-		f.episode.Failed(err, "store does not answer for table "+string(f.Table))
-		if !mfclock.Sleep(ctx, f.Clock, f.jitter(pause)) {
+		f.failures.Failed(err, "store does not answer for table "+string(f.Table))
+		if !mfclock.Sleep(ctx, f.Clock, f.jitter(delay)) {
 			return page, asked, ctx.Err()
 		}
-		pause = min(2*pause, maxRetryDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// reportProgress tells up to when all changes have been applied.
+// reportProgress reports the time up to which all changes have been applied.
 func (f *Follower) reportProgress(upTo time.Time) {
 	if f.OnProgress != nil {
 		f.OnProgress(upTo)
@@ -142,14 +146,14 @@
 }
 
 func (f *Follower) recordAnswer() {
-	f.episode.Succeeded("store answers again for table " + string(f.Table))
+	f.failures.Succeeded("store answers again for table " + string(f.Table))
 }
 
-// maxParallelReads is how many parts are read at the same time.
+// maxParallelReads is how many parts are read in parallel.
 const maxParallelReads = 8
 
-// ReadParts reads all rows of some parts of a table. The version is one from
-// which on no change is missed.
+// ReadParts reads all rows of some parts of a table. Following the changes from the returned
+// version misses none.
 func ReadParts(ctx context.Context, store mothferry.RowStore, table mothferry.TableID, parts []mothferry.PartID) ([]mothferry.Row, mothferry.Version, error) {
 	if len(parts) == 0 {
 		return ReadAll(ctx, store, mothferry.RowRange{Table: table})
@@ -161,12 +165,12 @@
 	group.SetLimit(maxParallelReads)
 	for _, p := range parts {
 		group.Go(func() error {
-			some, at, err := ReadAll(ctx, store, mothferry.RowRange{Table: table, Part: p})
+			partRows, partVersion, err := ReadAll(ctx, store, mothferry.RowRange{Table: table, Part: p})
 			mutex.Lock()
 			defer mutex.Unlock()
-			rows = append(rows, some...)
-			if version == 0 || at < version {
-				version = at
+			rows = append(rows, partRows...)
+			if version == 0 || partVersion < version {
+				version = partVersion
 			}
 			return err
 		})
@@ -175,9 +179,8 @@
 	return rows, version, err
 }
 
-// ReadAll reads all rows of a range, page by page, and returns the store's
-// version at the first page: changes from there on are not missed. A limit in q bounds
-// the rows of a page.
+// ReadAll reads all rows of a range, page by page, and returns the store's version at the first
+// page: following the changes from there misses none. A limit in q bounds the rows of a page.
 func ReadAll(ctx context.Context, store mothferry.RowStore, q mothferry.RowRange) ([]mothferry.Row, mothferry.Version, error) {
 	var rows []mothferry.Row
 	var version mothferry.Version
@@ -201,11 +204,12 @@
 	}
 }
 
-// readPage reads one page and returns how many rows the next one should ask for.
+// readPage reads one page and returns how many rows the next one should ask for. It asks for
+// fewer rows after each failure.
 //
-// What goes wrong: a page takes longer on a narrow link than a call may, and is asked for
-// again as it is, for good. One notices by reads without answer, or without a connection, as
-// what is left of the last one fills the link, while small ones have theirs.
+// Otherwise a page that takes longer on a slow link than a call may would be retried unchanged
+// for good. Reads then have no answer, or no connection, as the rest of the previous answer
+// fills the link, while small reads succeed.
 func readPage(ctx context.Context, store mothferry.RowStore, q mothferry.RowRange) (mothferry.RowPage, int, error) {
 	for {
 		page, err := store.Range(ctx, q)
--- a/mffeed/follower_test.go
+++ b/mffeed/follower_test.go
@@ -15,9 +15,7 @@
 	"mothferry/mfstandin"
 )
 
-// Symptom guarded against: a host goes on without what changed while the store
-// dropped its history.
-// Events: rows change, the history goes, rows change again.
+// A host must not miss what changes while the store drops its history: the table is read again.
 func TestLostHistoryIsReadAgain(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	var mutex sync.Mutex
--- a/mffollow/confirm.go
+++ b/mffollow/confirm.go
@@ -9,41 +9,41 @@
 	"mothferry/mfpeer"
 )
 
-// Confirmed returns when this daemon last began to compare its placements with
-// a peer of its data centre or with the table, and was done with it.
+// Confirmed returns when the last completed comparison of this daemon's placements, with a peer
+// of its data centre or with the table, started.
 //
-// A daemon that was paused (a frozen machine, a long stop for memory) resumes
-// with the placements of before. Without this check it would send requests to
-// runners that left meanwhile, for as long as the next heartbeat takes. The
-// age of the last comparison shows the pause: requests wait until the next one
-// is done. A daemon that reaches nobody has compared with all that there is,
-// and goes on serving; after a pause only once Notice has passed.
+// A daemon that was paused (a suspended machine, a long memory stall) resumes with its old
+// placements. Without this check it would send requests to runners that have left meanwhile,
+// until the next heartbeat. The age of the last comparison shows the pause: requests wait until
+// the next one is done. A daemon that reaches nobody has compared with all that there is, and
+// continues to serve; after a pause only once MaxConfirmAge has passed.
 func (f *Follower) Confirmed() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.confirmed
 }
 
-// confirm compares the placements in force with others' again and again.
+// confirm repeatedly compares the placements in force with those of others.
 //
 // After a pause, a round that returns SourceNone is accepted only once such rounds have
-// continued for Notice, because healthy peers may be slow or may have closed their sessions.
+// continued for MaxConfirmAge, because healthy peers may be slow or may have closed their
+// sessions.
 func (f *Follower) confirm(ctx context.Context) {
 	var resumed, previous time.Time
 	for {
-		began := f.Clock.Now()
-		age := began.Sub(f.Confirmed())
-		if age > f.MaxConfirmAge && (resumed.IsZero() || began.Sub(previous) > f.MaxConfirmAge) {
-			resumed = began
+		start := f.Clock.Now()
+		age := start.Sub(f.Confirmed())
+		if age > f.MaxConfirmAge && (resumed.IsZero() || start.Sub(previous) > f.MaxConfirmAge) {
+			resumed = start
 		}
-		previous = began
+		previous = start
 		source := f.catchUp(ctx)
 		if source != SourceNone || resumed.IsZero() || f.Clock.Now().Sub(resumed) > f.MaxConfirmAge {
 			f.mutex.Lock()
-			f.confirmed = began
+			f.confirmed = start
 			f.mutex.Unlock()
 			if !resumed.IsZero() {
-				f.Log.WithField("source", source).WithField("age_ms", age.Milliseconds()).Info("Placements are compared after a pause.")
+				f.Log.WithField("source", source).WithField("age_ms", age.Milliseconds()).Info("placements compared after a pause")
 				resumed = time.Time{}
 			}
 		}
@@ -53,43 +53,43 @@
 	}
 }
 
-// catchUp asks the peers of this data centre, beginning with another one each
-// time, until one replies, and adopts what it has newer. If none replies it
-// asks the table. It is bounded, so that an unreachable peer does not keep a
-// daemon that serves from confirming what it knows; and each peer has its part
-// of the time, so that a frozen one does not use up that of the others.
-// It returns what confirmed the placements, or SourceNone if neither a peer nor the table did.
+// catchUp asks the peers of this data centre, starting with a different one each time, until
+// one confirms the placements, and adopts what it has newer. If none does, it asks the table.
+// It is bounded, so that an unreachable peer does not keep a daemon that serves from confirming
+// its placements; and each peer gets an equal part of the time, so that an unresponsive one
+// does not use up that of the others. It returns what confirmed the placements, or SourceNone
+// if neither a peer nor the table did.
 func (f *Follower) catchUp(ctx context.Context) Source {
-	near := f.localPeers()
-	part := f.CompareTimeout / time.Duration(len(near)+1)
-	for range near {
-		p := near[f.nextPeer%len(near)]
+	peers := f.localPeers()
+	timeout := f.CompareTimeout / time.Duration(len(peers)+1)
+	for range peers {
+		p := peers[f.nextPeer%len(peers)]
 		f.nextPeer++
-		if f.compare(ctx, p, part) {
+		if f.compare(ctx, p, timeout) {
 			return SourcePeer
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, part)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := f.readTable(ctx); err != nil {
 		if ctx.Err() == nil {
-			f.Log.WithError(err).Debug("Neither peers nor the platform can be reached.")
+			f.Log.WithError(err).Debug("neither peers nor platform can be reached")
 		}
 		return SourceNone
 	}
 	return SourcePlatform
 }
 
-// compare swaps heartbeats with a peer, adopts what it has newer, and reports
-// whether all of that came in time and the peer is up to date with this daemon.
-// Old placements would count as confirmed otherwise, and
-// a daemon that was paused would send requests to runners that have left.
-func (f *Follower) compare(ctx context.Context, p mfpeer.Peer, bound time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+// compare exchanges heartbeats with a peer, adopts what it has newer, and reports whether all
+// of that arrived in time and the peer is up to date with this daemon. Old placements would
+// count as confirmed otherwise, and a daemon that was paused would send requests to runners
+// that have left.
+func (f *Follower) compare(ctx context.Context, p mfpeer.Peer, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	status, err := f.Mesh.Exchange(ctx, p)
 	if err != nil && f.Mesh.AwaitSession(ctx, p.Daemon) == nil {
-		// The session ended during a pause of this daemon, and the peer is well.
+		// The session ended during a pause of this daemon, and the peer is healthy.
 		status, err = f.Mesh.Exchange(ctx, p)
 	}
 	if err != nil {
@@ -111,16 +111,16 @@
 }
 
 func (f *Follower) localPeers() []mfpeer.Peer {
-	var near []mfpeer.Peer
+	var peers []mfpeer.Peer
 	for _, p := range f.Mesh.Peers {
 		if p.DataCentre == f.DataCentre {
-			near = append(near, p)
+			peers = append(peers, p)
 		}
 	}
-	return near
+	return peers
 }
 
-// adoptNewer fetches the placements that a peer has newer, and reports whether all came.
+// adoptNewer fetches the placements that are newer at a peer, and reports whether all arrived.
 func (f *Follower) adoptNewer(ctx context.Context, p mfpeer.Peer, s mfpeer.Status) bool {
 	current := f.Store.Current()
 	all := true
@@ -132,11 +132,11 @@
 	return all
 }
 
-// adoptPlacement fetches a placement from a peer and reports whether it came.
+// adoptPlacement fetches a placement from a peer, adopts it and reports whether it arrived.
 func (f *Follower) adoptPlacement(ctx context.Context, p mfpeer.Peer, pool mothferry.PoolID) bool {
 	record, err := f.Mesh.Placement(ctx, p.Daemon, pool)
 	if err != nil || record.DataCentre != f.DataCentre {
-		f.Log.WithError(err).WithField("peer", p.Daemon).WithField("pool", pool).Debug("Placement did not come.")
+		f.Log.WithError(err).WithField("peer", p.Daemon).WithField("pool", pool).Debug("fetch placement from peer failed")
 		return false
 	}
 	f.Store.AdoptPlacement(record)
--- a/mffollow/confirm_test.go
+++ b/mffollow/confirm_test.go
@@ -29,7 +29,8 @@
 	return listener
 }
 
-// placementWithholder is a daemon that tells of its placements and does not hand them out.
+// placementWithholder is a daemon that reports its placements in heartbeats but does not return
+// them.
 type placementWithholder struct{ *Follower }
 
 // Placement implements mfpeer.Node.
@@ -78,16 +79,15 @@
 	}, poll.WithTimeout(time.Minute))
 }
 
-// peerAt returns a peer in the data centre of the test followers, reachable at the address of the listener.
+// peerAt returns a peer in the data centre of the test followers, at the address of a listener.
 func peerAt(name mothferry.DaemonID, listener net.Listener) mfpeer.Peer {
 	return mfpeer.Peer{Daemon: name, DataCentre: "dc1", Address: listener.Addr().String()}
 }
 
-// TestFrozenPeerDoesNotBlockOthers: symptom, a daemon that resumes from a pause sends
-// work to a runner that left. Sequence: of its two peers the one that it asks
-// first is frozen; the question uses up all the time for comparing, the other
-// peer is not asked, and the daemon takes its old placements for confirmed.
-// Cause: one bound for all peers together.
+// TestFrozenPeerDoesNotBlockOthers checks that a peer that does not answer leaves time for the
+// others to be asked. If it used up all the time for comparing, a daemon that resumes from a
+// pause would treat its old placements as confirmed and send requests to runners that have
+// left.
 func TestFrozenPeerDoesNotBlockOthers(t *testing.T) {
 	frozen, awake, own := listen(t), listen(t), listen(t)
 	other := follower(t, "awake", awake, peerAt("own", own))
@@ -107,9 +107,9 @@
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
-// A daemon that resumed from a pause of 3 s sent three requests to runners that had left. The
-// peer that it compared its placements with told of newer ones, and did not hand them out in
-// time; the daemon took its old ones for confirmed all the same. It asks the next peer now.
+// A peer that reports newer placements but does not return them in time must not confirm the
+// old ones, and the next peer is asked. Otherwise a daemon that resumes from a pause of 3 s
+// sends requests to runners that have left.
 func TestMissingPlacementsAreNotConfirmed(t *testing.T) {
 	short, awake, own := listen(t), listen(t), listen(t)
 	others := []*Follower{
@@ -126,7 +126,7 @@
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
-// severableProxy passes connections on to an address and can end them all.
+// severableProxy forwards connections to an address and can close them all.
 type severableProxy struct {
 	net.Listener
 
@@ -136,20 +136,20 @@
 
 func (s *severableProxy) serve(to string) {
 	for {
-		near, err := s.Accept()
+		inbound, err := s.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", to)
+		outbound, err := net.Dial("tcp", to)
 		if err != nil {
-			_ = near.Close()
+			_ = inbound.Close()
 			continue
 		}
 		s.mutex.Lock()
-		s.connections = append(s.connections, near, far)
+		s.connections = append(s.connections, inbound, outbound)
 		s.mutex.Unlock()
-		go func() { _, _ = io.Copy(near, far) }()
-		go func() { _, _ = io.Copy(far, near) }()
+		go func() { _, _ = io.Copy(inbound, outbound) }()
+		go func() { _, _ = io.Copy(outbound, inbound) }()
 	}
 }
 
@@ -162,13 +162,14 @@
 	s.connections = nil
 }
 
-// A daemon whose sessions ended while it was paused must not take its old placements for confirmed.
+// A daemon whose sessions ended while it was paused must not treat its old placements as
+// confirmed.
 func TestPeerIsAskedAgainOverNewSession(t *testing.T) {
 	awake, own := listen(t), listen(t)
-	between := &severableProxy{Listener: listen(t)}
-	go between.serve(awake.Addr().String())
+	proxy := &severableProxy{Listener: listen(t)}
+	go proxy.serve(awake.Addr().String())
 	other := follower(t, "awake", awake, mfpeer.Peer{Daemon: "own", DataCentre: "dc1", Address: own.Addr().String()})
-	peer := mfpeer.Peer{Daemon: "awake", DataCentre: "dc1", Address: between.Addr().String()}
+	peer := mfpeer.Peer{Daemon: "awake", DataCentre: "dc1", Address: proxy.Addr().String()}
 	f := follower(t, "own", own, peer)
 	for generation := mothferry.Generation(5); generation < 15; generation++ {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -178,7 +179,7 @@
 			return poll.Success()
 		}, poll.WithTimeout(time.Minute))
 		other.Store.AdoptPlacement(mfplacement.Record{DataCentre: "dc1", Pool: "p", Generation: generation})
-		between.sever()
+		proxy.sever()
 		f.catchUp(t.Context())
 		assert.Equal(t, f.Store.Current().Placements["p"].Generation, generation)
 	}
@@ -198,7 +199,8 @@
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
-// Placements must not count as confirmed by a peer that was paused equally long and has the same outdated ones.
+// Placements must not count as confirmed by a peer that was paused equally long and has the
+// same outdated ones.
 func TestPausedPeerConfirmsNothing(t *testing.T) {
 	paused, awake, own := listen(t), listen(t), listen(t)
 	others := []*Follower{
@@ -218,7 +220,8 @@
 	assert.Equal(t, f.Store.Current().Placements["p"].Generation, mothferry.Generation(5))
 }
 
-// After a pause, placements must not count as confirmed merely because one round got no reply from slow peers.
+// After a pause, placements must not count as confirmed merely because one round got no reply
+// from slow peers.
 func TestSlowPeersConfirmNothingAfterPause(t *testing.T) {
 	frozen, own := listen(t), listen(t)
 	f := follower(t, "own", own, mfpeer.Peer{Daemon: "frozen", DataCentre: "dc1", Address: frozen.Addr().String()})
--- a/mffollow/follower.go
+++ b/mffollow/follower.go
@@ -1,6 +1,6 @@
-// Package mffollow keeps a daemon's snapshot up to date: from what peers push
-// and tell in heartbeats, and from the platform's table, which the first
-// daemons of each data centre poll.
+// Package mffollow keeps a daemon's snapshot up to date, from what peers push and report in
+// heartbeats, and from the platform's table, which the first daemons of each data centre poll
+// most often.
 package mffollow
 
 import (
@@ -25,21 +25,22 @@
 	"mothferry/mfsnapshot"
 )
 
-// pollers is how many daemons of a data centre poll at the full rate. The
-// others poll slowFactor times less often: they learn from their peers, and
-// the table's reads stay bounded however many daemons there are.
+// fullRatePollers is how many daemons of a data centre poll at the full rate. The others poll
+// slowPollFactor times less often: they learn from their peers, and the reads of the table stay
+// bounded however many daemons there are.
 const (
 	fullRatePollers = 2
 	slowPollFactor  = 10
 )
 
-// StatusProvider tells what this daemon can take over and has in flight.
+// StatusProvider reports this daemon's load by service, and its requests in flight at leaving
+// runners.
 type StatusProvider interface {
 	Statuses() map[mothferry.ServiceID]mfpeer.ServiceStatus
 	InFlightLeaving(p mfplacement.Record) int
 }
 
-// Source says where the snapshot in force came from.
+// Source is where the snapshot in force came from.
 type Source string
 
 // Sources of a snapshot.
@@ -59,10 +60,10 @@
 	Mesh         *mfpeer.Mesh
 	PollInterval time.Duration
 	Heartbeat    time.Duration
-	// CompareTimeout is how long one comparison with peers may take.
+	// CompareTimeout bounds one comparison with peers and the table.
 	CompareTimeout time.Duration
-	// MaxConfirmAge is the maximum age of the last comparison. Beyond it the daemon is considered
-	// paused and does not report its placements to peers.
+	// MaxConfirmAge is the maximum age of the last comparison. Beyond it the daemon is
+	// considered paused and does not report its placements to peers.
 	MaxConfirmAge time.Duration
 	Log           *log.Entry
 
@@ -75,18 +76,19 @@
 	source          Source
 	platformReached time.Time
 	fetching        map[string]bool
-	// confirmed is when the last comparison with others began that is done.
+	// confirmed is when the last completed comparison with others started.
 	confirmed time.Time
 
-	// nextPeer is the peer to compare with next; only Run uses it.
+	// nextPeer counts the peers asked so far and selects the one to compare with next; only Run
+	// uses it.
 	nextPeer int
 }
 
-// fetchBacklog bounds the fetches that wait; one that finds no room is tried
-// again with the next heartbeat.
+// fetchBacklog bounds the queued fetches; one that exceeds it is retried with the next
+// heartbeat.
 const fetchBacklog = 64
 
-// Prepare readies the follower for use before Run.
+// Prepare initialises the follower before Run.
 func (f *Follower) Prepare(random mothferry.Random) {
 	f.incarnation = uint64(f.Clock.Now().UnixNano()) ^ uint64(random.IntN(1<<30))
 	f.fetches = make(chan func(context.Context), fetchBacklog)
@@ -95,14 +97,14 @@
 	f.source = SourceNone
 }
 
-// SetStatusProvider names what heartbeats tell of the daemon's requests.
-func (f *Follower) SetStatusProvider(o StatusProvider) {
+// SetStatusProvider sets the source of what heartbeats report of the daemon's requests.
+func (f *Follower) SetStatusProvider(p StatusProvider) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.statusProvider = o
+	f.statusProvider = p
 }
 
-// SetStopping makes heartbeats tell that the daemon takes no more work.
+// SetStopping makes heartbeats report that the daemon takes no more work.
 func (f *Follower) SetStopping() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -139,9 +141,9 @@
 			err := f.readTable(ctx)
 			switch {
 			case err == nil:
-				failures.Succeeded("Platform's table can be read again.")
+				failures.Succeeded("platform's table can be read again")
 			case ctx.Err() == nil:
-				failures.Failed(err, "Platform's table cannot be read.")
+				failures.Failed(err, "read platform's table failed")
 			}
 		}
 		if !mfclock.Sleep(ctx, f.Clock, f.PollInterval) {
@@ -234,13 +236,13 @@
 	f.mutex.Lock()
 	f.source = from
 	f.mutex.Unlock()
-	f.Log.WithField("revision", d.Revision).WithField("source", from).Info("Documents are in force.")
+	f.Log.WithField("revision", d.Revision).WithField("source", from).Info("documents in force")
 }
 
 // Status implements mfpeer.Node.
 func (f *Follower) Status() mfpeer.Status {
 	f.mutex.Lock()
-	offers, stopping := f.statusProvider, f.stopping
+	provider, stopping := f.statusProvider, f.stopping
 	stale := f.Clock.Now().Sub(f.confirmed) > f.MaxConfirmAge
 	f.mutex.Unlock()
 	current := f.Store.Current()
@@ -256,13 +258,13 @@
 			break
 		}
 		shard := mfpeer.ShardStatus{Generation: p.Generation}
-		if offers != nil {
-			shard.InFlightLeaving = offers.InFlightLeaving(p)
+		if provider != nil {
+			shard.InFlightLeaving = provider.InFlightLeaving(p)
 		}
 		status.Shards[pool] = shard
 	}
-	if offers != nil {
-		status.Services = offers.Statuses()
+	if provider != nil {
+		status.Services = provider.Statuses()
 	}
 	return status
 }
@@ -278,7 +280,7 @@
 	return p, ok
 }
 
-// HandleStatus implements mfpeer.Node: what the peer has newer is fetched from it.
+// HandleStatus implements mfpeer.Node. It fetches from the peer what is newer there.
 func (f *Follower) HandleStatus(from mfpeer.Peer, s mfpeer.Status) {
 	current := f.Store.Current()
 	if s.Revision > current.Revision {
@@ -309,8 +311,8 @@
 	}
 }
 
-// PublishAccepted puts documents in force that this daemon accepted itself, and
-// pushes them to the peers.
+// PublishAccepted puts documents in force that this daemon accepted itself, and pushes them to
+// the peers.
 func (f *Follower) PublishAccepted(ctx context.Context, revision mothferry.Revision) error {
 	base := f.Store.Current().Revision
 	if base < revision {
@@ -340,7 +342,7 @@
 	})
 }
 
-// fetch queues one fetch unless one of the same subject waits already.
+// fetch queues one fetch unless one of the same subject is pending.
 func (f *Follower) fetch(subject string, act func(context.Context) error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -352,9 +354,9 @@
 		f.mutex.Lock()
 		delete(f.fetching, subject)
 		f.mutex.Unlock()
-		var gone *mfpeer.ErrNoSession
-		if err != nil && ctx.Err() == nil && !errors.As(err, &gone) {
-			f.Log.WithField("subject", subject).WithError(err).Warn("Fetch from a peer failed.")
+		var noSession *mfpeer.ErrNoSession
+		if err != nil && ctx.Err() == nil && !errors.As(err, &noSession) {
+			f.Log.WithField("subject", subject).WithError(err).Warn("fetch from peer failed")
 		}
 	}
 	select {
--- a/mfpeer/call.go
+++ b/mfpeer/call.go
@@ -19,11 +19,11 @@
 	"mothferry/mfsnapshot"
 )
 
-// maxFrame bounds one message, in bytes. At about 1 KB a document it holds
-// every document of the size the project designs for, many times over.
+// maxFrame bounds one message, in bytes. At about 1 KB a document it holds many times the
+// documents that the system is designed for.
 const maxFrame = 16 << 20
 
-// ErrBadFrame reports a peer's message that could not be understood.
+// ErrBadFrame reports a message of a peer that could not be processed.
 type ErrBadFrame struct {
 	Peer   mothferry.DaemonID
 	Detail string
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("message of peer %q is malformed: %s", e.Peer, e.Detail)
 }
 
-// call sends one call over the session to a peer and reads the reply. A
-// failure closes the session, so that it is dialled anew.
+// call sends one call over the session to a peer and reads the reply. A failure closes the
+// session, so that it is dialled again.
 func (m *Mesh) call(ctx context.Context, peer mothferry.DaemonID, call *mfwire.Call) (*mfwire.Reply, error) {
 	session, err := m.session(peer)
 	if err != nil {
@@ -58,10 +58,10 @@
 		return nil, trace.Wrap(err)
 	}
 	defer stream.Close()
-	// A deadline of the caller's shortens the bound but never lengthens it.
+	// The caller's deadline may shorten the timeout but never lengthens it.
 	deadline := time.Now().Add(m.Timeout)
-	if own, ok := ctx.Deadline(); ok && own.Before(deadline) {
-		deadline = own
+	if callerDeadline, ok := ctx.Deadline(); ok && callerDeadline.Before(deadline) {
+		deadline = callerDeadline
 	}
 	if err := stream.SetDeadline(deadline); err != nil {
 		return nil, trace.Wrap(err)
@@ -84,7 +84,7 @@
 	return trace.Wrap(err)
 }
 
-// accept takes the connections of peers until the listener is closed.
+// accept accepts the connections of peers until the listener is closed.
 func (m *Mesh) accept(ctx context.Context) {
 	for {
 		connection, err := m.Listener.Accept()
@@ -117,15 +117,15 @@
 	delete(m.incoming, session)
 }
 
-// serveStream answers one call. A stream that announces a spilled request is
-// handed to the spill server, which then owns it.
+// serveStream answers one call. A stream that announces a spilled request is handed to the
+// spill server, which then owns it.
 func (m *Mesh) serveStream(ctx context.Context, stream *yamux.Stream) {
 	_ = stream.SetDeadline(time.Now().Add(spillHandshakeTimeout))
 	reader := bufio.NewReader(stream)
 	var call mfwire.Call
 	options := protodelim.UnmarshalOptions{MaxSize: maxFrame}
 	if err := options.UnmarshalFrom(reader, &call); err != nil {
-		m.Log.WithField("remote", stream.RemoteAddr()).WithError(err).Warn("Malformed message refused.")
+		m.Log.WithField("remote", stream.RemoteAddr()).WithError(err).Warn("malformed message refused")
 		_ = stream.Close()
 		return
 	}
@@ -137,12 +137,11 @@
 	defer stream.Close()
 	reply := m.answer(&call)
 	if _, err := protodelim.MarshalTo(stream, reply); err != nil {
-		m.Log.WithField("peer", call.GetDaemon()).WithError(err).Debug("Reply could not be sent.")
+		m.Log.WithField("peer", call.GetDaemon()).WithError(err).Debug("write reply failed")
 	}
 }
 
-// answer works out the reply to one call. Only daemons that the settings name
-// are answered.
+// answer returns the reply to one call. Daemons that the settings do not name get a failure.
 func (m *Mesh) answer(call *mfwire.Call) *mfwire.Reply {
 	from, ok := m.peer(mothferry.DaemonID(call.GetDaemon()))
 	if !ok {
--- a/mfpeer/mesh.go
+++ b/mfpeer/mesh.go
@@ -1,6 +1,6 @@
-// Package mfpeer connects the daemons of a deployment with one another, over
-// yamux sessions that carry protobuf messages. Each daemon dials each of its
-// peers and sends its own calls over the session that it dialled.
+// Package mfpeer connects the daemons of a deployment over yamux sessions that carry protobuf
+// messages. Each daemon dials each of its peers and sends its own calls over the session that
+// it dialled.
 package mfpeer
 
 import (
@@ -26,14 +26,13 @@
 	"mothferry/mftraffic"
 )
 
-// Node is the daemon behind the mesh: it answers peers' calls and learns
-// from what they tell.
+// Node is the daemon behind the mesh: it answers peers' calls and processes what they send.
 type Node interface {
 	// Status returns the daemon's own heartbeat.
 	Status() Status
 	// Since returns the documents accepted after a revision.
 	Since(base mothferry.Revision) mfsnapshot.Delta
-	// Placement returns the placement of a pool of this data centre that is in force.
+	// Placement returns the placement in force of a pool of this data centre.
 	Placement(pool mothferry.PoolID) (mfplacement.Record, bool)
 	// HandleStatus is called with each heartbeat of a peer.
 	HandleStatus(from Peer, s Status)
@@ -43,14 +42,13 @@
 	HandlePlacement(from Peer, p mfplacement.Record)
 }
 
-// Intervals and bounds that are not settings.
 const (
 	maxRedialDelay        = 2 * time.Second
 	acceptBacklog         = 1024
 	spillHandshakeTimeout = 5 * time.Second
-	// remoteFactor is how many times longer the interval of heartbeats to
-	// daemons of other data centres is. They share no runners; what they need
-	// to hear is who could take over requests, and which revision is in force.
+	// remoteFactor is how many times longer the interval of heartbeats to daemons of other data
+	// centres is. They share no runners, and only need to know who could take over requests,
+	// and which revision is in force.
 	remoteFactor = 4
 )
 
@@ -76,7 +74,7 @@
 type Mesh struct {
 	Self       mothferry.DaemonID
 	DataCentre mothferry.DataCentre
-	// Listener takes the peers' connections.
+	// Listener accepts the peers' connections.
 	Listener  net.Listener
 	Peers     []Peer
 	Heartbeat time.Duration
@@ -86,7 +84,7 @@
 	Clock   mothferry.Clock
 	Random  mothferry.Random
 	Node    Node
-	// Spill serves the requests that peers of other data centres pass on.
+	// Spill serves the requests that peers of other data centres forward.
 	Spill http.Handler
 	Log   *log.Entry
 
@@ -102,7 +100,7 @@
 	opened chan struct{}
 }
 
-// Prepare readies a mesh for use before Run.
+// Prepare initialises a mesh before Run.
 func (m *Mesh) Prepare() {
 	m.states = map[mothferry.DaemonID]*State{}
 	m.sessions = map[mothferry.DaemonID]*mfsession.Session{}
@@ -143,9 +141,8 @@
 	return out
 }
 
-// Live returns the peers that are not stopping and were heard within bound, or
-// within a longer one in proportion to their heartbeats if they are in other
-// data centres.
+// Live returns the peers that are not stopping and were heard within bound. For peers in other
+// data centres the bound is longer in proportion to the interval of their heartbeats.
 func (m *Mesh) Live(bound time.Duration) []State {
 	now := m.Clock.Now()
 	var live []State
@@ -157,12 +154,12 @@
 	return live
 }
 
-// IsLive reports whether a peer was heard within bound, as Live counts it.
+// IsLive reports whether a peer was heard within bound, as defined by Live.
 func (m *Mesh) IsLive(s State, now time.Time, bound time.Duration) bool {
 	return !s.LastHeard.IsZero() && now.Sub(s.LastHeard) < bound*time.Duration(m.heartbeatFactor(s.Peer))
 }
 
-// heartbeatFactor is how many times Heartbeat the interval to a peer is.
+// heartbeatFactor returns how many times Heartbeat the interval to a peer is.
 func (m *Mesh) heartbeatFactor(p Peer) int {
 	if p.DataCentre == m.DataCentre {
 		return 1
@@ -190,7 +187,7 @@
 	return mfplacement.Decode(reply.GetPlacement().GetRecord())
 }
 
-// Exchange swaps heartbeats with a peer and returns the peer's.
+// Exchange exchanges heartbeats with a peer and returns the peer's.
 func (m *Mesh) Exchange(ctx context.Context, p Peer) (Status, error) {
 	call := &mfwire.Call{Kind: &mfwire.Call_Status{Status: m.statusFor(p)}}
 	reply, err := m.call(ctx, p.Daemon, call)
@@ -210,13 +207,13 @@
 	return status.encode()
 }
 
-// Push sends newly accepted documents to every peer and waits for their
-// replies, which tell what each has in force. A peer that misses the push
-// learns the revision from the next heartbeat.
+// Push sends newly accepted documents to every peer and waits for their replies, which report
+// what each has in force. A peer that misses the push learns the revision from the next
+// heartbeat.
 func (m *Mesh) Push(ctx context.Context, d mfsnapshot.Delta) {
 	changes, err := encodeChanges(d)
 	if err != nil {
-		m.Log.WithError(err).Error("Documents could not be encoded.")
+		m.Log.WithError(err).Error("encode documents failed")
 		return
 	}
 	m.broadcast(ctx, func(Peer) bool { return true }, &mfwire.Call{Kind: &mfwire.Call_Changes{Changes: changes}})
@@ -226,14 +223,14 @@
 func (m *Mesh) PushPlacement(ctx context.Context, p mfplacement.Record) {
 	record, err := p.Encode()
 	if err != nil {
-		m.Log.WithError(err).Error("Placement could not be encoded.")
+		m.Log.WithError(err).Error("encode placement failed")
 		return
 	}
-	near := func(k Peer) bool { return k.DataCentre == m.DataCentre }
-	m.broadcast(ctx, near, &mfwire.Call{Kind: &mfwire.Call_Placement{Placement: &mfwire.Placement{Record: record}}})
+	sameDataCentre := func(k Peer) bool { return k.DataCentre == m.DataCentre }
+	m.broadcast(ctx, sameDataCentre, &mfwire.Call{Kind: &mfwire.Call_Placement{Placement: &mfwire.Placement{Record: record}}})
 }
 
-// broadcast sends one call to the chosen peers at the same time and waits for them.
+// broadcast sends one call to the chosen peers in parallel and waits for them.
 func (m *Mesh) broadcast(ctx context.Context, chosen func(Peer) bool, kind *mfwire.Call) {
 	var group sync.WaitGroup
 	for _, p := range m.Peers {
@@ -243,7 +240,7 @@
 		group.Go(func() {
 			reply, err := m.call(ctx, p.Daemon, &mfwire.Call{Kind: kind.GetKind()})
 			if err != nil {
-				m.Log.WithField("peer", p.Daemon).WithError(err).Debug("Push failed.")
+				m.Log.WithField("peer", p.Daemon).WithError(err).Debug("push to peer failed")
 				return
 			}
 			if status := reply.GetStatus(); status != nil {
@@ -254,25 +251,25 @@
 	group.Wait()
 }
 
-// keepSession dials a peer whenever there is no session to it and, while
-// there is one, sends heartbeats.
+// keepSession dials a peer whenever there is no session to it, and sends heartbeats while there
+// is one.
 func (m *Mesh) keepSession(ctx context.Context, p Peer) {
-	pause := m.Heartbeat
+	delay := m.Heartbeat
 	for ctx.Err() == nil {
 		session, err := m.dial(ctx, p)
 		if err != nil {
-			m.Log.WithField("peer", p.Daemon).WithError(err).Debug("Peer cannot be reached.")
-			jitter := time.Duration(float64(pause) * (0.5 + m.Random.Float64()))
+			m.Log.WithField("peer", p.Daemon).WithError(err).Debug("dial peer failed")
+			jitter := time.Duration(float64(delay) * (0.5 + m.Random.Float64()))
 			mfclock.Sleep(ctx, m.Clock, jitter)
-			pause = min(2*pause, maxRedialDelay)
+			delay = min(2*delay, maxRedialDelay)
 			continue
 		}
-		pause = m.Heartbeat
-		m.Log.WithField("peer", p.Daemon).Info("Session opened.")
+		delay = m.Heartbeat
+		m.Log.WithField("peer", p.Daemon).Info("session opened")
 		m.exchangeHeartbeats(ctx, p, session)
 		m.drop(p.Daemon, session)
 		if ctx.Err() == nil {
-			m.Log.WithField("peer", p.Daemon).Warn("Session lost.")
+			m.Log.WithField("peer", p.Daemon).Warn("session lost")
 		}
 	}
 }
@@ -314,9 +311,9 @@
 	}
 }
 
-// exchangeHeartbeats exchanges heartbeats with a peer until a call fails. Of two peers only
-// the one with the smaller id begins: the reply carries the other's status.
-// The other side merely watches its session.
+// exchangeHeartbeats exchanges heartbeats with a peer until a call fails. Of two peers only the
+// one with the smaller id makes calls, as the reply carries the other's status; the other only
+// watches its session.
 func (m *Mesh) exchangeHeartbeats(ctx context.Context, p Peer, session *mfsession.Session) {
 	for ctx.Err() == nil {
 		if m.Self < p.Daemon {
@@ -333,7 +330,7 @@
 	}
 }
 
-// recordStatus notes a heartbeat and hands it to the node.
+// recordStatus records a heartbeat and passes it to the node.
 func (m *Mesh) recordStatus(p Peer, w *mfwire.Status) {
 	status := decodeStatus(w)
 	m.mutex.Lock()
@@ -377,7 +374,7 @@
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
 	config.AcceptBacklog = acceptBacklog
-	// Heartbeats find out dead sessions sooner than yamux's own keep-alive.
+	// Heartbeats detect dead sessions sooner than yamux's own keep-alive.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = m.Timeout
 	return config
--- a/mfpeer/mesh_test.go
+++ b/mfpeer/mesh_test.go
@@ -25,7 +25,7 @@
 	"mothferry/mfsnapshot"
 )
 
-// fakeNode is a Node that records what it is told.
+// fakeNode is a Node that records its calls.
 type fakeNode struct {
 	mutex  sync.Mutex
 	status Status
@@ -58,7 +58,7 @@
 
 func (n *fakeNode) HandlePlacement(Peer, mfplacement.Record) {}
 
-// newMeshPair runs two meshes that know each other.
+// newMeshPair runs two meshes that are each other's peer.
 func newMeshPair(t *testing.T) (a, b *Mesh, nodes [2]*fakeNode) {
 	t.Helper()
 	var meshes [2]*Mesh
@@ -136,8 +136,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestMalformedFrames: bytes that are no message, messages without a kind and
-// daemons that the settings do not name are refused, and the mesh goes on.
+// TestMalformedFrames checks that malformed bytes, messages without a kind and daemons that the
+// settings do not name are refused, and that the mesh keeps running.
 func TestMalformedFrames(t *testing.T) {
 	_, b, nodes := newMeshPair(t)
 	session := func() *yamux.Session {
@@ -180,7 +180,7 @@
 	assert.Equal(t, len(b.Live(time.Hour)), 1)
 }
 
-// FuzzAnswer shows that no message makes a daemon panic.
+// FuzzAnswer checks that no message makes a daemon panic.
 func FuzzAnswer(f *testing.F) {
 	f.Add("a", uint64(1), []byte("{}"))
 	m := &Mesh{Peers: []Peer{{Daemon: "a"}}, Node: &fakeNode{}, Clock: mfclock.System{}, Log: mflog.Discard()}
--- a/mfpeer/spill.go
+++ b/mfpeer/spill.go
@@ -18,7 +18,7 @@
 // hopsKey is the context key of a spilled request's hop count.
 type hopsKey struct{}
 
-// Hops returns how many peers a request has passed; 0 for a caller's own.
+// Hops returns how many peers have forwarded a request; 0 for a caller's own.
 func Hops(ctx context.Context) int {
 	hops, _ := ctx.Value(hopsKey{}).(int)
 	return hops
@@ -46,7 +46,7 @@
 	return stream, nil
 }
 
-// spillServer serves HTTP on the streams that peers hand over.
+// spillServer serves HTTP on the streams of spilled requests.
 func (m *Mesh) spillServer() *http.Server {
 	return &http.Server{
 		Handler:           m.Spill,
@@ -65,12 +65,12 @@
 	hops   int
 }
 
-// Read implements net.Conn, beginning with what was read ahead.
+// Read implements net.Conn, starting with what was read ahead.
 func (c *spillConnection) Read(p []byte) (int, error) {
 	return c.reader.Read(p)
 }
 
-// spillListener hands streams to an http.Server.
+// spillListener passes streams to an http.Server.
 type spillListener struct {
 	streams chan net.Conn
 	done    chan struct{}
--- a/mfpeer/status.go
+++ b/mfpeer/status.go
@@ -5,17 +5,17 @@
 	"mothferry/mfpeer/mfwire"
 )
 
-// Peer is another daemon as the settings name it.
+// Peer is another daemon, as named in the settings.
 type Peer struct {
 	Daemon     mothferry.DaemonID
 	DataCentre mothferry.DataCentre
-	// Address is the IP number and port it takes peers at.
+	// Address is the IP address and port at which it accepts peers.
 	Address string
 }
 
-// Status is a heartbeat: what a daemon has in force and can offer.
+// Status is a heartbeat: what a daemon has in force, and its load.
 type Status struct {
-	// Incarnation tells one run of a daemon from the next.
+	// Incarnation distinguishes one run of a daemon from the next.
 	Incarnation uint64
 	Revision    mothferry.Revision
 	Shards      map[mothferry.PoolID]ShardStatus
@@ -23,15 +23,15 @@
 	Stopping    bool
 }
 
-// ShardStatus tells which placement of a shard a daemon has in force.
+// ShardStatus is the placement of a shard that a daemon has in force.
 type ShardStatus struct {
 	Generation mothferry.Generation
 	// InFlightLeaving counts its requests at leaving runners of the shard.
 	InFlightLeaving int
 }
 
-// ServiceStatus tells what a daemon does for a service. A service that is not
-// in a Status is idle at that daemon: most are, and are not told of.
+// ServiceStatus is the load of a service at a daemon. A service that is not in a Status is idle
+// at that daemon: most are, and are omitted.
 type ServiceStatus struct {
 	Queued int
 	// Demand is the number of slots that its callers would keep busy.
@@ -83,9 +83,8 @@
 	return out
 }
 
-// remote returns what daemons of other data centres need of a status: that
-// the sender lives, its revision, and whether it is stopping. Its runners are
-// none of theirs.
+// remote returns what daemons of other data centres need of a status: that the sender is live,
+// its revision, and whether it is stopping. They do not use its runners.
 func (s Status) remote() Status {
 	return Status{Incarnation: s.Incarnation, Revision: s.Revision, Stopping: s.Stopping}
 }
--- a/mfsession/session_test.go
+++ b/mfsession/session_test.go
@@ -48,15 +48,15 @@
 	return c.Conn.Write(data)
 }
 
-// newBlockedRead returns a session of which one stream's read is blocked, its connection, the other side, and a
-// channel that is closed when the read has ended.
+// newBlockedRead returns a session with a blocked read of a stream, its connection, the other
+// side, and a channel that is closed when the read has ended.
 func newBlockedRead(t *testing.T) (*mfsession.Session, *slowConnection, *mfsession.Session, <-chan struct{}) {
 	t.Helper()
 	near, far := net.Pipe()
-	late := &slowConnection{Conn: near}
+	slow := &slowConnection{Conn: near}
 	config := yamux.DefaultConfig()
 	config.LogOutput, config.EnableKeepAlive = io.Discard, false
-	client, err := mfsession.Client(late, config)
+	client, err := mfsession.Client(slow, config)
 	assert.NilError(t, err)
 	server, err := mfsession.Server(far, config)
 	assert.NilError(t, err)
@@ -72,7 +72,7 @@
 		_, _ = stream.Read(make([]byte, 1))
 	}()
 	time.Sleep(50 * time.Millisecond)
-	return client, late, server, read
+	return client, slow, server, read
 }
 
 func cpuTime(t *testing.T) time.Duration {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Closing a session at once and from many sides must not wait for good.
+// Closing a session concurrently and from both sides must not wait forever.
 func TestConcurrentClose(t *testing.T) {
 	for range 5 {
 		session, connection, other, read := newBlockedRead(t)
@@ -130,7 +130,7 @@
 	}
 }
 
-// A session that is used beside this package would use a core as it ends.
+// Sessions started outside this package would use a core as they end.
 func TestOnlyThisPackageCreatesSessions(t *testing.T) {
 	err := filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || filepath.Dir(path) == "../mfsession" {
@@ -142,14 +142,14 @@
 		}
 		for _, name := range []string{"yamux.Client", "yamux.Server"} {
 			source, selector, _ := strings.Cut(name, ".")
-			assert.Check(t, !hasSelector(file, source, selector), "%s begins a session by %s", path, name)
+			assert.Check(t, !hasSelector(file, source, selector), "%s starts a session by %s", path, name)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
 }
 
-// hasSelector reports whether a file names something of a package.
+// hasSelector reports whether a file refers to a name of a package.
 func hasSelector(file *ast.File, source, name string) bool {
 	found := false
 	ast.Inspect(file, func(n ast.Node) bool {
