--- a/doc.go
+++ b/doc.go
@@ -1,6 +1,6 @@
-// Package mothferry holds what every part of the fleet manager shares: named
-// ids and units, the typed errors that cross package borders, the ends a
-// request can have, and the interfaces of everything that varies (the clock,
-// randomness and the platform's services). Implementations live in the mf…
+// Package mothferry holds what the packages of the fleet manager share: typed
+// ids and units, the errors that cross package boundaries, the final states of
+// a request, and the interfaces that have several implementations (the clock,
+// randomness and the platform's services). The implementations are in the mf…
 // packages below it.
 package mothferry
--- a/errors.go
+++ b/errors.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ErrUnavailable reports that the platform did not reply. A change asked for
-// may or may not have been made.
+// ErrUnavailable reports that the platform did not reply. A requested change
+// may or may not have been applied.
 type ErrUnavailable struct {
 	Operation string
 	Err       error
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e *ErrUnavailable) Unwrap() error { return e.Err }
 
-// ErrBadReply reports a reply of the platform that could not be understood.
+// ErrBadReply reports a malformed reply of the platform.
 type ErrBadReply struct {
 	Operation string
 	Detail    string
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("platform's reply to %s is malformed: %s", e.Operation, e.Detail)
 }
 
-// ErrConflict reports that checks of a transaction did not hold. It carries
-// the rows as they are; a row with version 0 is absent.
+// ErrConflict reports that checks of a transaction did not hold. Rows
+// holds the current rows; a row with version 0 is absent.
 type ErrConflict struct {
 	Rows []Row
 }
@@ -47,7 +47,7 @@
 	return "transaction conflict: " + strings.Join(keys, ", ")
 }
 
-// ErrNotFound reports that a named thing does not exist.
+// ErrNotFound reports that a named object does not exist.
 type ErrNotFound struct {
 	Kind string
 	Name string
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%s %q does not exist", e.Kind, e.Name)
 }
 
-// ErrFenced reports that an act was refused because a later epoch holds the shard.
+// ErrFenced reports that an operation was rejected because a later epoch holds the shard.
 type ErrFenced struct {
 	Fence  Fence
 	Latest Epoch
@@ -69,7 +69,8 @@
 	return fmt.Sprintf("epoch %d of shard %s is fenced off by epoch %d", e.Fence.Epoch, e.Fence.Shard, e.Latest)
 }
 
-// ErrDocumentConflict reports that somebody else changed a document first.
+// ErrDocumentConflict reports that a document has changed since the revision that an edit
+// was based on.
 type ErrDocumentConflict struct {
 	Service ServiceID
 	// Edited is the revision that the change was based on.
@@ -87,10 +88,10 @@
 		e.Service, e.Author, e.Time.UTC().Format(time.RFC3339), e.Current, e.Edited)
 }
 
-// ErrNotRun reports that a request was given up before any upstream ran it.
+// ErrNotRun reports that a request failed before any upstream ran it.
 type ErrNotRun struct {
 	Reason Reason
-	// RetryAfter is when the caller may come back; zero if it need not.
+	// RetryAfter is the delay after which the caller may retry; zero if none is given.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -106,7 +107,7 @@
 // Unwrap returns the cause.
 func (e *ErrNotRun) Unwrap() error { return e.Err }
 
-// ErrOutcomeUnknown reports that an upstream may have run a request whose answer did not arrive.
+// ErrOutcomeUnknown reports that an upstream may have run a request whose response did not arrive.
 type ErrOutcomeUnknown struct {
 	Reason Reason
 	Err    error
@@ -123,7 +124,7 @@
 // Unwrap returns the cause.
 func (e *ErrOutcomeUnknown) Unwrap() error { return e.Err }
 
-// ErrDeclined reports that the platform refused a call and did nothing.
+// ErrDeclined reports that the platform rejected a call without applying it.
 type ErrDeclined struct {
 	Operation string
 	// Status is the HTTP status of the refusal.
@@ -135,8 +136,8 @@
 	return fmt.Sprintf("platform declined %s with status %d; nothing was done", e.Operation, e.Status)
 }
 
-// ErrHistoryGone reports that changes after a version can't be had any more:
-// the rows have to be read anew.
+// ErrHistoryGone reports that the store no longer keeps the changes after a
+// version: the rows have to be read again.
 type ErrHistoryGone struct {
 	Table TableID
 	After Version
@@ -147,48 +148,48 @@
 	return fmt.Sprintf("changes of table %s after version %d are no longer kept", e.Table, e.After)
 }
 
-// OrderRefusal says why a worker did not carry out an order.
+// OrderRefusal is a worker's reason for not executing an order.
 type OrderRefusal string
 
 // Refusals of orders.
 const (
 	// RefusalEpoch: the worker has seen a higher epoch.
 	RefusalEpoch OrderRefusal = "epoch"
-	// RefusalRun: that run, or a later one, was stopped or has ended there.
+	// RefusalRun: that run, or a later one, was stopped or has ended at the worker.
 	RefusalRun OrderRefusal = "run"
 	// RefusalLate: the order's lease end has passed.
 	RefusalLate OrderRefusal = "late"
-	// RefusalCapacity: the task doesn't fit.
+	// RefusalCapacity: the task doesn't fit into the worker's free capacity.
 	RefusalCapacity OrderRefusal = "room"
 	// RefusalTicket: the ticket is missing or no longer valid.
 	RefusalTicket OrderRefusal = "ticket"
-	// RefusalUnhealthy: the worker refuses for the moment.
+	// RefusalUnhealthy: the worker temporarily accepts no orders.
 	RefusalUnhealthy OrderRefusal = "unhealthy"
-	// RefusalMalformed: the worker can't make sense of the order.
+	// RefusalMalformed: the worker can't parse the order.
 	RefusalMalformed OrderRefusal = "malformed"
 	// RefusalMachineBusy: the machine is not up, or is leaving.
 	RefusalMachineBusy OrderRefusal = "machine_busy"
-	// RefusalWave: the machine is not due in that wave.
+	// RefusalWave: the machine is not due for maintenance in that wave.
 	RefusalWave OrderRefusal = "wave"
 )
 
-// ErrOrderRefused reports that an order was certainly not carried out.
+// ErrOrderRefused reports that a worker did not execute an order.
 type ErrOrderRefused struct {
 	Refusal OrderRefusal
-	// Clock is the worker's clock, if it told it.
+	// Clock is the worker's clock; zero if the refusal does not carry it.
 	Clock WorkerClock
 }
 
 // Error implements error.
 func (e *ErrOrderRefused) Error() string { return "order refused: " + string(e.Refusal) }
 
-// ErrIncarnationEnded reports that another life of a worker answers at an address:
-// the one that was meant is over, with all that it ran.
+// ErrIncarnationEnded reports that another incarnation of a worker answers at the
+// address: the addressed one has ended, with all its runs.
 type ErrIncarnationEnded struct {
 	Worker WorkerID
 }
 
 // Error implements error.
 func (e *ErrIncarnationEnded) Error() string {
-	return fmt.Sprintf("worker %s is over: another life answers at its address", e.Worker)
+	return fmt.Sprintf("incarnation of worker %s has ended: another one answers at its address", e.Worker)
 }
--- a/feature.go
+++ b/feature.go
@@ -6,22 +6,21 @@
 	"strings"
 )
 
-// Feature is a part of the decisions about jobs that a deployment can switch off.
+// Feature names a part of the job handling that a deployment can disable.
 type Feature string
 
-// Features. All are on unless they are switched off; what else each asks of the config
-// stands in docs/design.
+// Features. All are enabled by default; docs/design says what config each of them needs.
 const (
-	// FeatureShares divides a service's room among client accounts, and refuses what
-	// can't be in time within its account's share.
+	// FeatureShares divides a service's capacity among client accounts, and refuses
+	// jobs that can't finish on time within their account's share.
 	FeatureShares Feature = "shares"
-	// FeatureStragglers learns how fast workers are, places tasks by when they would
-	// end, and starts tasks again elsewhere that fall behind.
+	// FeatureStragglers estimates the speed of workers, places tasks by their expected
+	// end, and restarts stragglers on other workers.
 	FeatureStragglers Feature = "stragglers"
-	// FeaturePoolSizes sizes pools by whichever of cores and memory binds, and divides a
-	// fleet that is too small for all of them.
+	// FeaturePoolSizes sizes pools by the binding resource, cores or memory, and divides
+	// a fleet that is too small for all pools.
 	FeaturePoolSizes Feature = "rooms"
-	// FeatureForwarding passes callers' requests on to a host that the store serves.
+	// FeatureForwarding forwards callers' requests to a host that the store serves.
 	FeatureForwarding Feature = "forwarding"
 )
 
@@ -30,18 +29,18 @@
 	return []Feature{FeatureShares, FeatureStragglers, FeaturePoolSizes, FeatureForwarding}
 }
 
-// FeaturesOff is the set of features that are switched off; nil switches off none.
+// FeaturesOff is the set of disabled features; nil disables none.
 type FeaturesOff map[Feature]bool
 
-// ErrFeature reports a name that no feature has.
+// ErrFeature reports an unknown feature name.
 type ErrFeature struct{ Name string }
 
 // Error implements error.
 func (e *ErrFeature) Error() string {
-	return fmt.Sprintf("there is no feature %q; there are %v", e.Name, AllFeatures())
+	return fmt.Sprintf("unknown feature %q; known features are %v", e.Name, AllFeatures())
 }
 
-// ParseFeaturesOff reads a list of features, separated by commas; an empty text lists none.
+// ParseFeaturesOff parses a comma-separated list of features; an empty text lists none.
 func ParseFeaturesOff(text string) (FeaturesOff, error) {
 	off := FeaturesOff{}
 	for name := range strings.SplitSeq(text, ",") {
--- a/ids.go
+++ b/ids.go
@@ -12,7 +12,7 @@
 // TeamID names the team that owns a service document.
 type TeamID string
 
-// DataCentre names a data centre, the unit that a partition cuts off.
+// DataCentre names a data centre, the unit that a network partition separates.
 type DataCentre string
 
 // RackID names a rack, the failure domain below a data centre.
@@ -24,7 +24,7 @@
 // PoolID names a pool of hosts.
 type PoolID string
 
-// TaskID names one run of a runner on a worker. It is never used twice.
+// TaskID names one run of a runner on a worker. It is never reused.
 type TaskID string
 
 // DaemonID names one mothferry daemon, which is one entry host.
@@ -40,11 +40,11 @@
 // Revision counts accepted changes to the service documents, fleet-wide.
 type Revision uint64
 
-// Epoch counts the holders of a control lease. A larger epoch fences off a smaller one.
+// Epoch counts the holders of a control lease. A larger epoch fences a smaller one.
 type Epoch uint64
 
-// Version tells writes of rows apart. It grows with each transaction of the whole store, and all rows
-// of one transaction have the same. Version 0 means that the row is absent.
+// Version identifies the transaction that last wrote a row. It grows with each transaction of
+// the whole store, and all rows of one transaction have the same. Version 0 means that the row is absent.
 type Version uint64
 
 // Generation counts the published placements of one shard.
--- a/mffleet/daemon.go
+++ b/mffleet/daemon.go
@@ -1,6 +1,7 @@
-// Package mffleet is the daemon of a fleet that runs jobs: the parts that take
-// callers' requests in, follow the operator and own a shard, under a
-// supervisor tree. What is spoken with the outside is passed in.
+// Package mffleet is the daemon of a fleet that runs jobs: the components that
+// accept callers' requests, follow the operator and own a shard, run under a
+// supervisor tree. The access to the store, the workers and the operator is
+// passed in as an Adapter.
 package mffleet
 
 import (
@@ -30,28 +31,29 @@
 	"mothferry/mfusage"
 )
 
-// Adapter is what the daemon speaks with, as an adapter provides it.
+// Adapter connects the daemon to its platform: store, workers, operator and callers.
 type Adapter struct {
 	Store   mothferry.RowStore
 	Workers mothferry.TaskWorkers
-	// OrderTimeout bounds one call to a worker, without the time it is asked to wait.
+	// OrderTimeout bounds one call to a worker, not counting the time that the worker is
+	// asked to wait.
 	OrderTimeout time.Duration
 	Adviser      mothferry.Adviser
 	Machines     mothferry.Machines
 	Listing      mfowner.WorkerSource
-	// FollowOperator follows what the operator asks for until ctx ends.
-	FollowOperator func(ctx context.Context, news OperatorCallbacks) error
-	// ReportWave tells the operator how far a wave is.
+	// FollowOperator follows the operator's changes until ctx ends.
+	FollowOperator func(ctx context.Context, callbacks OperatorCallbacks) error
+	// ReportWave reports the progress of a wave to the operator.
 	ReportWave func(ctx context.Context, wave mothferry.WaveID, completed bool) error
 	// CallersHandler returns the handler of callers' requests.
 	CallersHandler func(d *Daemon) http.Handler
 }
 
-// OperatorCallbacks is told what the operator asks for.
+// OperatorCallbacks holds the functions that are called with the operator's requests.
 type OperatorCallbacks struct {
 	OnConfig func(c *mfqueue.Config)
 	OnWave   func(w mfsched.Wave)
-	// OnSynced is told up to when all that the operator asked for is known.
+	// OnSynced is called with the time up to which all of the operator's changes are known.
 	OnSynced func(upTo time.Time)
 }
 
@@ -72,10 +74,11 @@
 	store          *monitoredStore
 	relay          *mfrelay.Relay
 	relayServer    *mfrelay.Server
-	// forwardClient passes calls on, carrier carries them out for others; nil where that is off.
+	// forwardClient forwards callers' requests to peers, forwardServer serves those of peers;
+	// both are nil if forwarding is disabled.
 	forwardClient *mfforward.Client
 	forwardServer *mfforward.Server
-	// Router serves callers' requests about jobs; it is set once Run has begun.
+	// Router serves callers' requests about jobs; it is set once Run has started.
 	Router         *mfforward.Router
 	stopping       atomic.Bool
 	mutex          sync.Mutex
@@ -89,8 +92,8 @@
 // Config returns the config in force, nil before the first one.
 func (d *Daemon) Config() *mfqueue.Config { return d.config.Load() }
 
-// ConfigSyncedAt returns up to when all changes of the config are known; zero before the
-// first one.
+// ConfigSyncedAt returns the time up to which all changes of the config are known; zero
+// before the first config.
 func (d *Daemon) ConfigSyncedAt() time.Time {
 	if at := d.configSyncedAt.Load(); at != nil {
 		return *at
@@ -98,12 +101,12 @@
 	return time.Time{}
 }
 
-// ObserveRequest counts the end of a caller's request.
+// ObserveRequest records the answer to a caller's request.
 func (d *Daemon) ObserveRequest(kind string, status int, took time.Duration) {
 	d.requestSeconds.WithLabelValues(kind, http.StatusText(status)).Observe(took.Seconds())
 }
 
-// ObserveCall counts a call to the platform or to a worker.
+// ObserveCall records a call to the platform or to a worker.
 func (d *Daemon) ObserveCall(operation string, took time.Duration, err error) {
 	outcome := "done"
 	if err != nil {
@@ -112,10 +115,10 @@
 	d.callSeconds.WithLabelValues(operation, outcome).Observe(took.Seconds())
 }
 
-// CountRefusedEntry counts a worker's entry that names no worker to use.
+// CountRefusedEntry counts an entry of a worker that can't be used.
 func (d *Daemon) CountRefusedEntry() { d.refusedEntries.Inc() }
 
-// Log returns the logger of a part.
+// Log returns the logger of a component.
 func (d *Daemon) Log(part string) *log.Entry {
 	return d.Logs.Part(part).WithField("daemon", d.Settings.Daemon)
 }
@@ -123,7 +126,7 @@
 // Run serves until ctx ends, then stops gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.build()
-	d.log.WithFields(log.Fields{"data_centre": d.Settings.DataCentre, "callers": d.Settings.Callers}).Info("daemon starts")
+	d.log.WithFields(log.Fields{"data_centre": d.Settings.DataCentre, "callers": d.Settings.Callers}).Info("daemon started")
 	callers, err := d.server(d.Settings.Callers, d.Adapter.CallersHandler(d))
 	if err != nil {
 		return err
@@ -134,18 +137,18 @@
 	}
 	metrics, err := d.server(d.Settings.Metrics, promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{}))
 	if err != nil {
-		// Nobody is served worse without metrics.
-		d.log.WithError(err).WithField("address", d.Settings.Metrics).Error("metrics are not served")
+		// Callers can be served without metrics.
+		d.log.WithError(err).WithField("address", d.Settings.Metrics).Error("metrics are not available: listen failed")
 		metrics = &http.Server{ReadHeaderTimeout: headerTimeout}
 	}
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	done := d.supervise(parts, component{"operator", d.followOperator}, component{"owner", d.owner.Run}, component{"usage", d.usage.Run})
-	relaying, endRelaying := context.WithCancel(context.WithoutCancel(ctx))
-	defer endRelaying()
-	relayed := d.supervise(relaying, append(d.relayComponents(), d.forwardComponents()...)...)
+	done := d.supervise(running, component{"operator", d.followOperator}, component{"owner", d.owner.Run}, component{"usage", d.usage.Run})
+	serving, endServing := context.WithCancel(context.WithoutCancel(ctx))
+	defer endServing()
+	served := d.supervise(serving, append(d.relayComponents(), d.forwardComponents()...)...)
 	<-ctx.Done()
-	d.log.Info("daemon is told to stop")
+	d.log.Info("daemon is stopping")
 	d.stopping.Store(true)
 	d.relayServer.Leave()
 	if d.forwardServer != nil {
@@ -154,11 +157,11 @@
 	cancel()
 	d.shutDown(callers)
 	<-done
-	endRelaying()
-	<-relayed
+	endServing()
+	<-served
 	_ = ready.Close()
 	_ = metrics.Close()
-	d.log.Info("daemon stops")
+	d.log.Info("daemon stopped")
 	return nil
 }
 
@@ -198,7 +201,7 @@
 	pools := newPoolGauges()
 	shares := newShareMetrics(func() *mfowner.Shares { return d.owner.Shares() })
 	d.Registry.MustRegister(d.refusedEntries, d.requestSeconds, d.callSeconds, decisions, commits, owning, cores, pools.machines, pools.binding, shares)
-	uneven := newStragglerMetrics(d.Registry)
+	stragglers := newStragglerMetrics(d.Registry)
 	d.store = &monitoredStore{RowStore: d.Adapter.Store, clock: d.Clock, health: &mfforward.Health{}}
 	d.buildRelay()
 	d.owner = &mfowner.Owner{
@@ -207,9 +210,9 @@
 		Machines: d.Adapter.Machines, Waves: d.waveList, ReportWave: d.Adapter.ReportWave,
 		OnDecision: func(message string) {
 			decisions.WithLabelValues(message).Inc()
-			uneven.countDecision(message)
+			stragglers.countDecision(message)
 		},
-		OnSlowWorkers:        uneven.setSlowWorkers,
+		OnSlowWorkers:        stragglers.setSlowWorkers,
 		OnCommit:             func(took time.Duration) { commits.Observe(took.Seconds()) },
 		OnJobEnd:             shares.countJobEnd,
 		OnPoolSizes:          pools.set,
@@ -233,17 +236,17 @@
 	return server, nil
 }
 
-// Times of the callers' connections.
+// Timeouts of connections to the daemon's HTTP servers.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
 )
 
-// supervise runs parts until ctx ends; the channel is closed when all have ended.
-func (d *Daemon) supervise(ctx context.Context, parts ...component) <-chan struct{} {
+// supervise runs components until ctx ends; the channel is closed when all have ended.
+func (d *Daemon) supervise(ctx context.Context, components ...component) <-chan struct{} {
 	top := suture.New("fleet", suture.Spec{EventHook: func(e suture.Event) { d.log.Warn(e.String()) }})
-	for _, p := range parts {
-		top.Add(p)
+	for _, c := range components {
+		top.Add(c)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -268,10 +271,10 @@
 		d.waves = map[mothferry.WaveID]mfsched.Wave{}
 	}
 	d.waves[w.Wave] = w
-	d.log.WithFields(log.Fields{"wave": w.Wave, "machines": len(w.Machines), "at_once": w.MaxDown, "within": w.Within.String()}).Info("wave is asked for")
+	d.log.WithFields(log.Fields{"wave": w.Wave, "machines": len(w.Machines), "at_once": w.MaxDown, "within": w.Within.String()}).Info("wave requested")
 }
 
-// waveList returns the waves that the operator has asked for.
+// waveList returns the waves that the operator has requested.
 func (d *Daemon) waveList() []mfsched.Wave {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -284,11 +287,11 @@
 	}
 }
 
-// shutDown lets requests in flight end. New connections are still taken for a
-// while, since the balancer learns only at its next look that this host leaves.
+// shutDown waits for requests in flight to end. New connections are still accepted
+// for a while, since the balancer notices only at its next health check that this host
+// is stopping.
 func (d *Daemon) shutDown(callers *http.Server) {
-	linger := min(maxStopDelay, d.Settings.Grace/2)
-	<-d.Clock.After(linger)
+	<-d.Clock.After(min(maxStopDelay, d.Settings.Grace/2))
 	ctx, cancel := context.WithTimeout(context.Background(), d.Settings.Grace/4)
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
@@ -296,17 +299,18 @@
 	}
 }
 
-// maxStopDelay is how long a host that is told to stop goes on serving: the
-// balancer asks once a second and needs two misses.
+// maxStopDelay is the longest time for which a stopping host still accepts connections:
+// the balancer checks once a second and removes a host after two failed checks.
 const maxStopDelay = 2500 * time.Millisecond
 
+// component is a supervised part of the daemon.
 type component struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
 // Serve implements suture.Service.
-func (p component) Serve(ctx context.Context) error { return p.run(ctx) }
+func (c component) Serve(ctx context.Context) error { return c.run(ctx) }
 
-// String names the part in the supervisor's events.
-func (p component) String() string { return p.name }
+// String returns the name of the component for the supervisor's events.
+func (c component) String() string { return c.name }
--- a/mffleet/daemon_test.go
+++ b/mffleet/daemon_test.go
@@ -22,7 +22,7 @@
 	"mothferry/platform"
 )
 
-// host is one daemon of the test.
+// host is a daemon under test.
 type host struct {
 	callers string
 	ready   string
@@ -90,7 +90,7 @@
 	return response.StatusCode, text.String()
 }
 
-// eventually waits until f holds.
+// eventually waits until f returns true.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for range 600 {
@@ -99,11 +99,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("%s never came about", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// Jobs end to end over two hosts: handed in at either, looked up at either, and
-// completed although the owner is stopped while they run; nothing runs twice.
+// TestJobsSurvivePlannedStop submits jobs to two hosts and stops the shard's owner
+// meanwhile. All jobs complete, the remaining host reports their state, and no task runs
+// twice.
 func TestJobsSurvivePlannedStop(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	w := &mfstandin.TaskWorker{Service: "s", TaskTime: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}
--- a/mffleet/forward_test.go
+++ b/mffleet/forward_test.go
@@ -22,7 +22,7 @@
 
 const forwardJob = `{"spec":"x","steps":[{"count":1,"cpu":500,"mem_mb":64,"est_ms":30}]}`
 
-// group is some hosts of one store, each with a gate to it.
+// group is a number of hosts of one store, each with a gate in front of the store.
 type group struct {
 	rows    *mfstandin.Rows
 	workers *mfstandin.TaskWorker
@@ -30,28 +30,28 @@
 	gates   []*mfstandin.FaultyStore
 }
 
-// startGroup starts hosts that know of each other and have an owner. The last one owns
-// the shard at first.
+// startGroup starts hosts that know of each other. The last one is the first owner of
+// the shard.
 func startGroup(t *testing.T, n int) *group {
 	t.Helper()
 	g := &group{rows: &mfstandin.Rows{}, workers: &mfstandin.TaskWorker{Service: "s", TaskTime: 30 * time.Millisecond, Cores: 64000, Clock: mfclock.System{}}}
 	g.hosts, g.gates = make([]host, n), make([]*mfstandin.FaultyStore, n)
-	// Ports of addresses of their own are not taken by connections that go out meanwhile.
+	// With a subnet of its own, outgoing connections can't occupy the ports of the hosts.
 	subnet := mffake.ClaimSubnet(t)
-	told := make([]mfrecord.Host, n)
-	for i := range told {
-		// As after a restart: their rows are there.
-		told[i] = mfrecord.Host{Daemon: mothferry.DaemonID(fmt.Sprintf("h-%d", i)), DataCentre: "a", Address: fmt.Sprintf("%s.%d:7060", subnet, 10+i), Forward: fmt.Sprintf("%s.%d:7061", subnet, 10+i), Cores: 400}
-		value, err := told[i].Encode()
+	records := make([]mfrecord.Host, n)
+	for i := range records {
+		// The rows of all hosts exist already, as after a restart.
+		records[i] = mfrecord.Host{Daemon: mothferry.DaemonID(fmt.Sprintf("h-%d", i)), DataCentre: "a", Address: fmt.Sprintf("%s.%d:7060", subnet, 10+i), Forward: fmt.Sprintf("%s.%d:7061", subnet, 10+i), Cores: 400}
+		value, err := records[i].Encode()
 		assert.NilError(t, err)
-		_, err = g.rows.Commit(context.Background(), mothferry.Txn{Writes: []mothferry.Write{{Table: mfrecord.TableHosts, Key: mothferry.Key(told[i].Daemon), Value: value}}})
+		_, err = g.rows.Commit(context.Background(), mothferry.Txn{Writes: []mothferry.Write{{Table: mfrecord.TableHosts, Key: mothferry.Key(records[i].Daemon), Value: value}}})
 		assert.NilError(t, err)
 	}
 	for i := n - 1; i >= 0; i-- {
 		g.gates[i] = &mfstandin.FaultyStore{Store: g.rows}
-		g.hosts[i] = startHost(t, told[i].Daemon, g.gates[i], g.workers, func(s *mffleet.Settings) {
+		g.hosts[i] = startHost(t, records[i].Daemon, g.gates[i], g.workers, func(s *mffleet.Settings) {
 			s.Callers, s.Ready, s.Metrics = fmt.Sprintf("%s.%d:7100", subnet, 10+i), fmt.Sprintf("%s.%d:7101", subnet, 10+i), fmt.Sprintf("%s.%d:7070", subnet, 10+i)
-			s.DataCentre, s.Relay, s.Forward = told[i].DataCentre, told[i].Address, told[i].Forward
+			s.DataCentre, s.Relay, s.Forward = records[i].DataCentre, records[i].Address, records[i].Forward
 			s.Off = mothferry.FeaturesOff{mothferry.FeatureForwarding: os.Getenv("MOTHFERRY_TEST_WITHOUT") == string(mothferry.FeatureForwarding)}
 		})
 		t.Cleanup(g.hosts[i].stop)
@@ -62,7 +62,7 @@
 	for i := range g.hosts {
 		eventually(t, "a ready host", func() bool { return g.isReady(i) })
 	}
-	// Each reads which hosts there are soon after its start.
+	// Each host reads the list of hosts soon after its start.
 	time.Sleep(1500 * time.Millisecond)
 	return g
 }
@@ -79,7 +79,7 @@
 	return string(head.Holder)
 }
 
-// releaseCount counts how often it was stored that the shard has no owner.
+// releaseCount counts how often the shard was stored without an owner.
 func (g *group) releaseCount(t *testing.T) int {
 	t.Helper()
 	page, err := g.rows.Follow(context.Background(), mfrecord.TableOwner, 0, 0)
@@ -102,7 +102,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// metric returns the lines of a host's metrics that begin with a text.
+// metric returns the lines of a host's metrics that begin with name.
 func (g *group) metric(t *testing.T, i int, name string) string {
 	t.Helper()
 	response, err := http.Get("http://" + g.hosts[i].metrics + "/")
@@ -119,7 +119,7 @@
 	return strings.Join(found, "\n")
 }
 
-// timedRequest makes a request and returns how long it took.
+// timedRequest sends a request and measures its duration.
 func (g *group) timedRequest(t *testing.T, i int, method string, id int) (code int, text string, took time.Duration) {
 	t.Helper()
 	body := ""
@@ -131,7 +131,8 @@
 	return code, text, time.Since(began)
 }
 
-// Symptom guarded against: a host that the store turns away refuses all its callers, though its neighbours are served.
+// TestUnservedHostForwardsToPeer guards against a host that the store does not serve refusing
+// all its callers while the store serves other hosts.
 func TestUnservedHostForwardsToPeer(t *testing.T) {
 	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "reset": mfstandin.StoreReset, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
@@ -140,8 +141,8 @@
 			g.gates[0].SetFault(fault)
 			for i := range 20 {
 				code, text, took := g.timedRequest(t, 0, http.MethodPost, i)
-				assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
-				assert.Assert(t, took < time.Second, "hand-in %d took %v", i, took)
+				assert.Equal(t, code, http.StatusOK, "submission %d: %s", i, text)
+				assert.Assert(t, took < time.Second, "submission %d took %v", i, took)
 				time.Sleep(50 * time.Millisecond)
 			}
 			for i := range 20 {
@@ -163,7 +164,7 @@
 			carried := g.metric(t, 1, `mothferry_calls_carried_total{kind="accept",outcome="done"}`) + g.metric(t, 2, `mothferry_calls_carried_total{kind="accept",outcome="done"}`)
 			assert.Assert(t, carried != "")
 			g.gates[0].SetFault(mfstandin.StoreOK)
-			eventually(t, "service by the own store", func() bool {
+			eventually(t, "service by the host's own store", func() bool {
 				return g.metric(t, 0, "mothferry_store_serving") == "mothferry_store_serving 1"
 			})
 			assert.Equal(t, len(g.workers.StartedTwice()), 0, "%v", g.workers.StartedTwice())
@@ -171,7 +172,8 @@
 	}
 }
 
-// Symptom guarded against: with all hosts turned away calls are passed round, held to their end, or hosts stay ready.
+// TestAllHostsUnservedRefuseImmediately guards against requests that are forwarded in circles
+// or held until their timeout, and hosts that stay ready, when the store serves no host.
 func TestAllHostsUnservedRefuseImmediately(t *testing.T) {
 	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
@@ -184,7 +186,7 @@
 			for i := range 10 {
 				code, _, took := g.timedRequest(t, 0, http.MethodPost, i)
 				assert.Equal(t, code, http.StatusServiceUnavailable)
-				assert.Assert(t, took < 400*time.Millisecond, "hand-in took %v", took)
+				assert.Assert(t, took < 400*time.Millisecond, "submission took %v", took)
 				code, _, took = g.timedRequest(t, 0, http.MethodGet, i)
 				assert.Equal(t, code, http.StatusServiceUnavailable)
 				assert.Assert(t, took < 400*time.Millisecond, "look-up took %v", took)
@@ -201,11 +203,12 @@
 	}
 }
 
-// Failure guarded against: a hand-in's answer is lost at the peer, then a refusal says that the job never runs, and it does.
+// TestLostPeerReplyIsNotARefusal guards against a job that was refused and runs all the same:
+// the store accepts it, but the answer to the peer is lost and a later attempt is refused.
 func TestLostPeerReplyIsNotARefusal(t *testing.T) {
 	g := startGroup(t, 2)
 	g.gates[0].SetFault(mfstandin.StoreBusy)
-	eventually(t, "a host that passes calls on", func() bool {
+	eventually(t, "a host that forwards requests", func() bool {
 		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
 	})
@@ -233,13 +236,14 @@
 	})
 }
 
-// Failure guarded against: a hand-in that goes two ways, by an own write that is made late and by a peer, runs twice.
+// TestJobSubmittedTwoWaysRunsOnce guards against a job that runs twice because it is stored
+// via a peer and later by the host's own delayed write.
 func TestJobSubmittedTwoWaysRunsOnce(t *testing.T) {
 	g := startGroup(t, 2)
 	g.gates[0].SetFault(mfstandin.StoreLate)
 	for i := range 5 {
 		code, text, _ := g.timedRequest(t, 0, http.MethodPost, i)
-		assert.Equal(t, code, http.StatusOK, "hand-in %d: %s", i, text)
+		assert.Equal(t, code, http.StatusOK, "submission %d: %s", i, text)
 	}
 	for i := range 5 {
 		eventually(t, "completion", func() bool {
@@ -257,11 +261,12 @@
 	assert.Equal(t, len(g.workers.StartedTwice()), 0, "%v", g.workers.StartedTwice())
 }
 
-// Failure guarded against: a peer's store goes silent with hand-ins in flight, and callers wait for longer than they said, or its other callers go under.
+// TestFailedPeerIsReplaced guards against callers that wait too long when the peer that their
+// host forwards to stops with submissions in flight.
 func TestFailedPeerIsReplaced(t *testing.T) {
 	g := startGroup(t, 3)
 	g.gates[0].SetFault(mfstandin.StoreBusy)
-	eventually(t, "a host that passes calls on", func() bool {
+	eventually(t, "a host that forwards requests", func() bool {
 		code, _, _ := g.timedRequest(t, 0, http.MethodPost, 100)
 		return code == http.StatusOK
 	})
@@ -272,15 +277,16 @@
 	g.hosts[first].stop()
 	for i := range 20 {
 		code, _, took := g.timedRequest(t, 0, http.MethodPost, i)
-		assert.Assert(t, took < 2*time.Second, "hand-in took %v", took)
-		assert.Assert(t, code == http.StatusOK || code == http.StatusGatewayTimeout, "hand-in %d: %d", i, code)
+		assert.Assert(t, took < 2*time.Second, "submission took %v", took)
+		assert.Assert(t, code == http.StatusOK || code == http.StatusGatewayTimeout, "submission %d: %d", i, code)
 		code, text, _ := g.timedRequest(t, 0, http.MethodGet, 100)
 		assert.Equal(t, code, http.StatusOK, text)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// Failure guarded against: an owner that the store turns away keeps its shard until its lease lapses, and nothing starts meanwhile.
+// TestUnservedOwnerReleasesShard guards against an owner that the store does not serve keeping
+// its shard until its lease expires, while no task is started.
 func TestUnservedOwnerReleasesShard(t *testing.T) {
 	for name, fault := range map[string]mfstandin.StoreFault{"busy": mfstandin.StoreBusy, "reset": mfstandin.StoreReset, "silent": mfstandin.StoreTimeout} {
 		t.Run(name, func(t *testing.T) {
@@ -297,18 +303,18 @@
 				took := time.Since(began)
 				worst, sum = max(worst, took), sum+took
 				g.gates[i].SetFault(mfstandin.StoreOK)
-				eventually(t, "a host that is served", func() bool { return g.metric(t, i, "mothferry_store_serving") == "mothferry_store_serving 1" })
+				eventually(t, "service by the host's own store", func() bool { return g.metric(t, i, "mothferry_store_serving") == "mothferry_store_serving 1" })
 				time.Sleep(time.Second)
-				assert.Assert(t, g.owner(t) != owner, "the shard came back to %s", owner)
+				assert.Assert(t, g.owner(t) != owner, "the shard returned to %s", owner)
 			}
-			t.Logf("%s: mean %v, worst %v, given up %d times", name, sum/rounds, worst, g.releaseCount(t))
+			t.Logf("%s: mean %v, worst %v, released %d times", name, sum/rounds, worst, g.releaseCount(t))
 			assert.Assert(t, sum/rounds < time.Second, "the shard had another owner after %v", sum/rounds)
-			// Silence takes nearly as long to notice as the lease, which may lapse first.
-			least := rounds - 1
+			// A silent store is noticed hardly sooner than the lease ends, so the lease may expire first.
+			minReleases := rounds - 1
 			if fault == mfstandin.StoreTimeout {
-				least = 1
+				minReleases = 1
 			}
-			assert.Assert(t, g.releaseCount(t) >= least, "the shard was given up %d times", g.releaseCount(t))
+			assert.Assert(t, g.releaseCount(t) >= minReleases, "the shard was released %d times", g.releaseCount(t))
 		})
 	}
 }
--- a/mffleet/pool.go
+++ b/mffleet/pool.go
@@ -7,7 +7,7 @@
 	"mothferry/mfduty"
 )
 
-// poolGauges show the sizes of pools at the shard's owner; other hosts show none.
+// poolGauges holds the pool size metrics, which only the shard's owner exports.
 type poolGauges struct{ machines, binding *prometheus.GaugeVec }
 
 func newPoolGauges() poolGauges {
@@ -21,11 +21,11 @@
 	}
 }
 
-// set shows the sizes of pools; nil shows none.
-func (g poolGauges) set(rooms map[mothferry.ServiceID]mfduty.PoolSize) {
+// set replaces the exported pool sizes; nil exports none.
+func (g poolGauges) set(sizes map[mothferry.ServiceID]mfduty.PoolSize) {
 	g.machines.Reset()
 	g.binding.Reset()
-	for id, r := range rooms {
+	for id, r := range sizes {
 		service := string(id)
 		g.machines.WithLabelValues(service, "present").Set(float64(r.Present))
 		g.machines.WithLabelValues(service, "needed").Set(float64(r.Needed))
--- a/mffleet/pool_test.go
+++ b/mffleet/pool_test.go
@@ -11,7 +11,8 @@
 	"mothferry/mfduty"
 )
 
-// A host that has lost the shard must not go on showing pools.
+// TestPoolGaugesEndWithOwnership checks that a host that lost the shard exports no pool
+// sizes any more.
 func TestPoolGaugesEndWithOwnership(t *testing.T) {
 	g := newPoolGauges()
 	registry := prometheus.NewRegistry()
--- a/mffleet/relay.go
+++ b/mffleet/relay.go
@@ -10,20 +10,20 @@
 	"mothferry/mfrelay"
 )
 
-// buildRelay sets up both sides of relaying: this host's calls while it owns the shard,
-// and what it passes on for another owner.
+// buildRelay sets up relaying: the client for this host's orders while it owns the shard,
+// and the server that relays the orders of another owner.
 func (d *Daemon) buildRelay() {
-	passed := prometheus.NewCounterVec(prometheus.CounterOpts{
+	orders := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "mothferry_orders_total", Help: "Orders of the shard's owner to workers, by whether a relay passed them on.",
 	}, []string{"way"})
-	d.Registry.MustRegister(passed)
-	relayed, direct := passed.WithLabelValues("relay"), passed.WithLabelValues("direct")
+	d.Registry.MustRegister(orders)
+	relayed, direct := orders.WithLabelValues("relay"), orders.WithLabelValues("direct")
 	d.relay = &mfrelay.Relay{
 		Daemon: d.Settings.Daemon, Direct: d.Adapter.Workers, OrderTimeout: d.Adapter.OrderTimeout,
 		Link:  d.Settings.Link,
 		Clock: d.Clock, Log: d.Log("relay"),
-		OnOrder: func(over bool) {
-			if over {
+		OnOrder: func(viaRelay bool) {
+			if viaRelay {
 				relayed.Inc()
 			} else {
 				direct.Inc()
@@ -37,7 +37,7 @@
 	return &mfrelay.Directory{Store: d.store, Clock: d.Clock, Random: d.Random, Log: d.Log("relay")}
 }
 
-// relayComponents are those by which this host passes orders on; none without an address.
+// relayComponents returns the components that relay orders; none without a relay address.
 func (d *Daemon) relayComponents() []component {
 	if d.Settings.Relay == "" {
 		return nil
@@ -45,7 +45,7 @@
 	return []component{{"relay", d.relayServer.Run}, {"directory", d.publishHost}}
 }
 
-// publishHost tells the others once where this host passes orders on.
+// publishHost stores this host's addresses once for the other hosts.
 func (d *Daemon) publishHost(ctx context.Context) error {
 	err := d.directory().Publish(ctx, mfrecord.Host{
 		Daemon: d.Settings.Daemon, DataCentre: d.Settings.DataCentre, Address: d.Settings.Relay, Forward: d.forwardAddress(), Cores: d.Settings.Cores,
@@ -59,8 +59,8 @@
 
 // followRelays keeps links to relays while this host owns the shard.
 func (d *Daemon) followRelays(ctx context.Context) {
-	var parts sync.WaitGroup
-	parts.Go(func() { _ = d.directory().Follow(ctx, d.relay.SetHosts) })
-	parts.Go(func() { _ = d.relay.Run(ctx) })
-	parts.Wait()
+	var group sync.WaitGroup
+	group.Go(func() { _ = d.directory().Follow(ctx, d.relay.SetHosts) })
+	group.Go(func() { _ = d.relay.Run(ctx) })
+	group.Wait()
 }
--- a/mffleet/report_test.go
+++ b/mffleet/report_test.go
@@ -14,7 +14,8 @@
 	"mothferry/mfreport"
 )
 
-// A family that is renamed, or loses a label, is silently missing from operators' reports.
+// TestHostsExportReportedMetrics guards against a metric that is renamed or loses a label:
+// it would be missing from operators' reports without an error.
 func TestHostsExportReportedMetrics(t *testing.T) {
 	d := &Daemon{
 		Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Registry: prometheus.NewRegistry(),
@@ -36,6 +37,6 @@
 		for _, k := range known {
 			found = found || strings.Contains(k, fmt.Sprintf("fqName: %q,", f.Name)) && strings.Contains(k, want)
 		}
-		assert.Check(t, found, "no host tells %s with labels %v", f.Name, f.Labels)
+		assert.Check(t, found, "no host exports %s with labels %v", f.Name, f.Labels)
 	}
 }
--- a/mffleet/setting.go
+++ b/mffleet/setting.go
@@ -9,7 +9,7 @@
 	"mothferry/mfsched"
 )
 
-// Settings of a daemon of a fleet that runs jobs.
+// Settings holds the settings of one daemon.
 type Settings struct {
 	// Daemon is this daemon's id, unique in the deployment.
 	Daemon     mothferry.DaemonID
@@ -18,27 +18,27 @@
 	Callers string
 	Ready   string
 	Metrics string
-	// Relay is the address at which this host passes on the orders of the shard's
-	// owner; empty for a host that does not.
+	// Relay is the address at which this host relays orders of the shard's owner; empty if
+	// it does not.
 	Relay string
-	// Forward is the address at which this host carries out callers' requests for hosts
-	// that the store turns away; empty for one that does not.
+	// Forward is the address at which this host serves requests forwarded by hosts that
+	// the store does not serve; empty if it does not.
 	Forward string
-	// Cores is this host's share of processors.
+	// Cores is the processor capacity that this host may use.
 	Cores mothferry.Millicores
-	// Link is what this host's link carries; zero if that is not known.
+	// Link is the capacity of this host's link; zero if it is not known.
 	Link mothferry.Bandwidth
-	// Grace is how long a planned stop may take.
+	// Grace bounds the duration of a planned stop.
 	Grace time.Duration
-	// MachineHandoverDelay is how long after another host's last change of a machine
-	// this one may change it.
+	// MachineHandoverDelay is how long after another host's last change of a machine this
+	// one may change it.
 	MachineHandoverDelay time.Duration
 	Limits               mfsched.Limits
-	// Off holds the features that are switched off.
+	// Off holds the disabled features.
 	Off mothferry.FeaturesOff
 }
 
-// ErrSetting reports a setting that can't be used.
+// ErrSetting reports an invalid setting.
 type ErrSetting struct {
 	Name string
 	Want string
@@ -47,7 +47,7 @@
 // Error implements error.
 func (e *ErrSetting) Error() string { return fmt.Sprintf("setting %s: %s", e.Name, e.Want) }
 
-// Check returns an ErrSetting for the first setting that can't be used.
+// Check returns an ErrSetting for the first invalid setting.
 func (s Settings) Check() error {
 	if s.Daemon == "" {
 		return &ErrSetting{"daemon", "must name this daemon"}
@@ -65,7 +65,7 @@
 		value time.Duration
 	}{{"grace", s.Grace}, {"hold", s.Limits.LeaseDuration}, {"longest_hold", s.Limits.MaxLease}, {"extend_for", s.Limits.RenewLeasesFor}, {"keep_final", s.Limits.FinishedJobRetention}} {
 		if d.value <= 0 {
-			return &ErrSetting{d.name, "must be longer than nothing"}
+			return &ErrSetting{d.name, "must be above 0"}
 		}
 	}
 	return nil
--- a/mffleet/share.go
+++ b/mffleet/share.go
@@ -9,12 +9,12 @@
 	"mothferry/mfsched"
 )
 
-// shareMetrics tell operators how client accounts are served. Labels hold only queues,
-// services and accounts that a config names.
+// shareMetrics collects the metrics of client accounts. Labels hold only queues, services
+// and accounts that the config names.
 type shareMetrics struct {
 	submitted, jobEnds *prometheus.CounterVec
 	share, used        *prometheus.Desc
-	// shares returns how the accounts' work stands, nil where this host does not know.
+	// shares returns the accounts' allocations and usage; nil if this host does not know them.
 	shares func() *mfowner.Shares
 }
 
--- a/mffleet/share_test.go
+++ b/mffleet/share_test.go
@@ -15,7 +15,8 @@
 	"mothferry/mfshare"
 )
 
-// Guarded against: operators can't tell whose jobs were refused, or read shares of a host that does not own the shard.
+// TestShareMetrics checks that refused jobs are counted by account, and that a host that does
+// not own the shard exports no shares.
 func TestShareMetrics(t *testing.T) {
 	var shares *mfowner.Shares
 	m := newShareMetrics(func() *mfowner.Shares { return shares })
@@ -33,7 +34,8 @@
 	})
 }
 
-// metricNames returns the metrics that a registry has, with the labels checked that operators select by.
+// metricNames returns the names of a registry's metrics. It checks that each has the label by
+// which operators select.
 func metricNames(t *testing.T, r *prometheus.Registry) []string {
 	t.Helper()
 	families, err := r.Gather()
--- a/mffleet/store.go
+++ b/mffleet/store.go
@@ -10,29 +10,28 @@
 	"mothferry/mfforward"
 )
 
-// maxAnswerAge is how long ago the store must have answered for this host to take
-// new connections. Each host reads who owns the shard every 225 to 375 ms and an
-// owner commits as often, so that two answers are missing by then. A host that is cut
-// off can accept nothing, and its callers wait for the balancer to leave it out: it
-// takes two looks of a second for that.
+// maxAnswerAge is the time since the store's last answer up to which this host reports ready.
+// Each host reads the shard's owner every 225 to 375 ms and an owner commits as often, so
+// two answers are missing by then. A host without the store can accept no jobs, and its
+// callers wait until the balancer removes it, which takes two health checks a second apart.
 const maxAnswerAge = 800 * time.Millisecond
 
 const (
-	// latencyAllowanceFactor times what the last answer took is added: a store that is slow for
-	// all hosts is no reason to leave them out.
+	// latencyAllowanceFactor times the latency of the last answer is added to maxAnswerAge: a
+	// store that is slow for all hosts is no reason to remove them from the balancer.
 	latencyAllowanceFactor = 3
-	// maxLatencyAllowance bounds that: one call that took long must not keep a host ready that is
-	// cut off after it.
+	// maxLatencyAllowance bounds that addition: a single slow answer must not keep a host ready
+	// that loses the store after it.
 	maxLatencyAllowance = time.Second
 )
 
-// monitoredStore is the store, and notes when it last answered.
+// monitoredStore wraps the store and records when it last answered.
 type monitoredStore struct {
 	mothferry.RowStore
 	clock mothferry.Clock
-	// health is what calls show of whether the store serves this host.
+	// health tracks whether the store serves this host.
 	health *mfforward.Health
-	// lastAnswer is when the store last answered, took how long that call took.
+	// lastAnswer is when the store last answered, lastLatency how long that call took.
 	lastAnswer  atomic.Pointer[time.Time]
 	lastLatency atomic.Int64
 }
@@ -57,8 +56,8 @@
 	return page, err
 }
 
-// recordCall takes the end of a call in. Calls that wait for changes are not noted: what
-// they took says nothing of the store.
+// recordCall records the result of a call. Calls that wait for changes are not recorded, since
+// their duration says nothing about the store's latency.
 func (r *monitoredStore) recordCall(began time.Time, err error) {
 	var conflict *mothferry.ErrConflict
 	if err != nil && !errors.As(err, &conflict) {
@@ -69,12 +68,12 @@
 	r.lastAnswer.Store(&now)
 }
 
-// answeredRecently reports whether the store answered lately.
+// answeredRecently reports whether the store's last answer is recent enough.
 func (r *monitoredStore) answeredRecently() bool {
 	last := r.lastAnswer.Load()
 	if last == nil {
 		return false
 	}
-	slow := min(latencyAllowanceFactor*time.Duration(r.lastLatency.Load()), maxLatencyAllowance)
-	return r.clock.Now().Sub(*last) < maxAnswerAge+slow
+	allowance := min(latencyAllowanceFactor*time.Duration(r.lastLatency.Load()), maxLatencyAllowance)
+	return r.clock.Now().Sub(*last) < maxAnswerAge+allowance
 }
--- a/mffleet/store_test.go
+++ b/mffleet/store_test.go
@@ -16,7 +16,7 @@
 	"mothferry/mfstandin"
 )
 
-// slowRows is a store whose calls take a while, or that can't be reached.
+// slowRows is a store with a latency that can become unreachable.
 type slowRows struct {
 	*mfstandin.Rows
 	clock       *mffake.Clock
@@ -33,8 +33,8 @@
 	return r.Rows.Range(ctx, q)
 }
 
-// newPollingDaemon is a daemon with a config whose store is read as often as each host
-// reads who owns the shard.
+// newPollingDaemon returns a daemon with a config, and a function that reads the store after the
+// interval at which each host reads the shard's owner.
 func newPollingDaemon(rows *slowRows) (d *Daemon, poll func()) {
 	d = &Daemon{Clock: rows.clock, store: &monitoredStore{RowStore: rows, clock: rows.clock, health: &mfforward.Health{}}}
 	d.config.Store(&mfqueue.Config{})
@@ -50,12 +50,10 @@
 	return w.Code == http.StatusOK
 }
 
-// Symptom: for three seconds after a data centre was cut off its callers were told
-// to come back a second later, again and again, while other hosts would have served
-// them; their jobs were late.
-// Events: hosts lose the store; the balancer asks each once a second and leaves out
-// one that was not ready twice.
-// Cause: a host was ready until the store had not answered for 1.8 s.
+// TestHostWithoutStoreBecomesUnready guards against hosts that refuse callers for three
+// seconds after a partition while other hosts could serve them: the balancer removes a host
+// only after two failed checks a second apart, so a host that stays ready for 1.8 s without
+// an answer of the store is removed too late.
 func TestHostWithoutStoreBecomesUnready(t *testing.T) {
 	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 4 * time.Millisecond}
 	d, poll := newPollingDaemon(rows)
@@ -65,7 +63,7 @@
 	rows.unreachable = true
 	poll()
 	poll()
-	assert.Assert(t, ready(d), "one or two answers missing are no reason")
+	assert.Assert(t, ready(d), "one or two missing answers leave the host ready")
 	rows.clock.Advance(300 * time.Millisecond)
 	assert.Assert(t, !ready(d))
 	rows.unreachable = false
@@ -73,8 +71,8 @@
 	assert.Assert(t, ready(d))
 }
 
-// A store that is slow for all hosts leaves them ready: there is none that would be
-// faster.
+// TestHostWithSlowStoreIsReady checks that hosts stay ready if the store is slow for all of
+// them: no other host would be faster.
 func TestHostWithSlowStoreIsReady(t *testing.T) {
 	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 400 * time.Millisecond}
 	d, poll := newPollingDaemon(rows)
@@ -83,7 +81,8 @@
 	assert.Assert(t, ready(d))
 }
 
-// A single slow answer keeps no host ready for long that is cut off after it.
+// TestLatencyAllowanceIsBounded checks that a single slow answer does not keep a host ready
+// for long that loses the store after it.
 func TestLatencyAllowanceIsBounded(t *testing.T) {
 	rows := &slowRows{Rows: &mfstandin.Rows{}, clock: mffake.NewClock(), latency: 1500 * time.Millisecond}
 	d, poll := newPollingDaemon(rows)
--- a/mffleet/straggler.go
+++ b/mffleet/straggler.go
@@ -7,7 +7,7 @@
 	"mothferry/mfsched"
 )
 
-// stragglerMetrics are the metrics of uneven workers.
+// stragglerMetrics holds the metrics of slow workers and of stragglers.
 type stragglerMetrics struct {
 	slow, speed *prometheus.GaugeVec
 	actions     *prometheus.CounterVec
@@ -29,7 +29,7 @@
 	return s
 }
 
-// countDecision counts a decision that the log has.
+// countDecision counts a decision about a straggler, given by its log message.
 func (s *stragglerMetrics) countDecision(message string) {
 	switch message {
 	case mfsched.MessageRestarted:
@@ -43,7 +43,7 @@
 	}
 }
 
-// setSlowWorkers takes in which workers are slow now; none once the shard has another owner.
+// setSlowWorkers replaces the exported slow workers; none once the shard has another owner.
 func (s *stragglerMetrics) setSlowWorkers(workers []mfsched.SlowWorker) {
 	s.slow.Reset()
 	s.speed.Reset()
--- a/mffleet/straggler_test.go
+++ b/mffleet/straggler_test.go
@@ -11,7 +11,8 @@
 	"mothferry/mfsched"
 )
 
-// Guards against gauges of workers that are no longer slow, or whose shard has another owner.
+// TestSlowWorkerMetrics guards against gauges of workers that are no longer slow, or whose
+// shard has another owner.
 func TestSlowWorkerMetrics(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	s := newStragglerMetrics(registry)
@@ -25,7 +26,7 @@
 	assert.DeepEqual(t, metricLines(t, registry), []string{"mothferry_stragglers_total restarted 1"})
 }
 
-// metricLines returns the name, labels and value of each metric.
+// metricLines returns the name, label values and value of each metric.
 func metricLines(t *testing.T, registry *prometheus.Registry) []string {
 	t.Helper()
 	families, err := registry.Gather()
--- a/outcome.go
+++ b/outcome.go
@@ -1,11 +1,11 @@
 package mothferry
 
-// End is the one final state of a request, as told to its caller.
+// End is the final state of a request, as reported to its caller.
 type End string
 
 // The ends of a request.
 const (
-	// EndAnswered means that the caller got the whole answer of its upstream.
+	// EndAnswered means that the caller got the complete answer of its upstream.
 	EndAnswered End = "answered"
 	// EndNotRun means that no upstream ran any part of the request.
 	EndNotRun End = "not_run"
@@ -20,8 +20,8 @@
 	HeaderCustomer  = "Mothferry-Customer"
 	HeaderRequestID = "Mothferry-Request-Id"
 	HeaderTimeout   = "Mothferry-Timeout"
-	// HeaderRunner names the runner that a request is meant for, and on an answer
-	// the one that gave it.
+	// HeaderRunner names the runner that a request is addressed to, and on an
+	// answer the one that gave it.
 	HeaderRunner   = "Mothferry-Runner"
 	HeaderReplayed = "Mothferry-Replayed"
 	// HeaderRefused is set by an upstream that did not run the request. Its
@@ -40,8 +40,8 @@
 const (
 	RefusalBusy    Refusal = "busy"
 	RefusalLeaving Refusal = "leaving"
-	// RefusalOtherRunner: the request is meant for another runner, whose address
-	// this one has now.
+	// RefusalOtherRunner: the request is addressed to another runner, whose
+	// address this one has now.
 	RefusalOtherRunner Refusal = "other_runner"
 )
 
--- a/platform.go
+++ b/platform.go
@@ -10,15 +10,15 @@
 
 // Row is one row of the platform's table.
 type Row struct {
-	// Table and Part are empty where the store has but one table.
+	// Table and Part are empty where the store has only one table.
 	Table   TableID
 	Part    PartID
 	Key     Key
 	Value   []byte
 	Version Version
-	// Deleted marks a row that a feed reports as gone.
+	// Deleted marks a row that a feed reports as deleted.
 	Deleted bool
-	// Expires is when the platform may drop the row; zero means never.
+	// Expires is when the platform may delete the row; zero means never.
 	Expires time.Time
 }
 
@@ -28,8 +28,8 @@
 	Prefixes []Key
 }
 
-// Check demands that a row has exactly this version (0: absent) for a
-// transaction to take effect.
+// Check requires that a row has exactly this version (0: absent) for a
+// transaction to be applied.
 type Check struct {
 	Table   TableID
 	Part    PartID
@@ -47,9 +47,9 @@
 	Expires time.Time
 }
 
-// Txn is one atomic change: all checks hold and all writes happen, or none.
+// Txn is one atomic change: all writes are applied if all checks hold, otherwise none.
 type Txn struct {
-	// SpansParts says that its rows lie in several parts, which takes longer.
+	// SpansParts is set if its rows lie in several parts, which takes longer.
 	SpansParts bool
 	Checks     []Check
 	Writes     []Write
@@ -63,7 +63,7 @@
 	// has. Versions grow over the whole table and are never used twice. It
 	// fails with ErrConflict if a check does not hold and with ErrUnavailable
 	// if the platform did not reply; in the second case the change may or may
-	// not have been made.
+	// not have been applied.
 	Commit(ctx context.Context, txn Txn) (Version, error)
 }
 
@@ -73,7 +73,7 @@
 	Put(ctx context.Context, name string, data []byte) error
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the platform's host list.
 type HostState string
 
 // States of a host in the host list.
@@ -88,7 +88,7 @@
 	State HostState
 }
 
-// HostList is the platform's list of live and leaving hosts. It lags.
+// HostList is the platform's list of live and leaving hosts. It is updated with a delay.
 type HostList interface {
 	Hosts(ctx context.Context, dc DataCentre) ([]ListedHost, error)
 }
@@ -103,7 +103,7 @@
 	Connections Connections
 }
 
-// TaskState is a worker's word about one of its tasks.
+// TaskState is the state of a task as its worker reports it.
 type TaskState string
 
 // States of a task on its worker.
@@ -121,11 +121,11 @@
 	State   TaskState
 	// Address is the IP and port at which a serving task takes requests.
 	Address string
-	// Used is what the task was seen to use, with a lag.
+	// Used is the measured usage of the task, reported with a delay.
 	Used Resources
 }
 
-// WorkerReport is what one worker last said of its tasks.
+// WorkerReport is the last report of one worker on its tasks.
 type WorkerReport struct {
 	Host  HostID
 	Tasks []TaskStatus
@@ -135,13 +135,13 @@
 // by task id and fail with ErrFenced once the worker has seen a larger epoch
 // for the shard.
 type WorkerAPI interface {
-	// Reports returns what the named workers of a data centre last said.
+	// Reports returns the last reports of the named workers of a data centre.
 	Reports(ctx context.Context, dc DataCentre, hosts []HostID) ([]WorkerReport, error)
 	Start(ctx context.Context, host HostID, fence Fence, task TaskSpec) error
 	Stop(ctx context.Context, host HostID, fence Fence, task TaskID) error
 }
 
-// Fence names the lease under which an act is done.
+// Fence names the lease under which an operation is done.
 type Fence struct {
 	Shard Shard
 	Epoch Epoch
@@ -153,7 +153,7 @@
 	Reboot(ctx context.Context, host HostID, fence Fence) error
 }
 
-// Platform is everything the platform offers.
+// Platform groups the platform's services.
 type Platform struct {
 	Table   Table
 	Objects ObjectStore
--- a/units.go
+++ b/units.go
@@ -6,19 +6,19 @@
 // Bytes is an amount of memory or data.
 type Bytes int64
 
-// Bandwidth is what a link carries, in bits a second.
+// Bandwidth is the capacity of a link, in bits a second.
 type Bandwidth int64
 
 // Accelerators counts accelerator devices.
 type Accelerators int64
 
-// Slots counts requests that a runner works on at the same time.
+// Slots counts the requests that a runner handles concurrently.
 type Slots int
 
 // Connections counts open transport connections to one runner.
 type Connections int
 
-// Common sizes.
+// Sizes and bandwidths in their base units.
 const (
 	Kibibyte Bytes = 1 << 10
 	Mebibyte Bytes = 1 << 20
@@ -27,7 +27,7 @@
 	MegabitPerSecond Bandwidth = 1_000_000
 )
 
-// Resources is what a runner needs or a worker has.
+// Resources is the demand of a runner or the capacity of a worker.
 type Resources struct {
 	Cores        Millicores   `json:"cores"`
 	Memory       Bytes        `json:"memory"`
@@ -39,7 +39,7 @@
 	return Resources{Cores: r.Cores + o.Cores, Memory: r.Memory + o.Memory, Accelerators: r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{Cores: r.Cores - o.Cores, Memory: r.Memory - o.Memory, Accelerators: r.Accelerators - o.Accelerators}
 }
