--- a/ids.go
+++ b/ids.go
@@ -44,7 +44,8 @@
 type Epoch uint64
 
 // Version identifies the transaction that last wrote a row. It grows with each transaction of
-// the whole store, and all rows of one transaction have the same. Version 0 means that the row is absent.
+// the whole store, and all rows of one transaction have the same. Version 0 means that the
+// row is absent.
 type Version uint64
 
 // Generation counts the published placements of one shard.
--- a/mfchange/change.go
+++ b/mfchange/change.go
@@ -1,4 +1,4 @@
-// Package mfchange accepts changes to service documents: each is one
+// Package mfchange applies changes to service documents, each in one
 // transaction on the platform's table.
 package mfchange
 
@@ -18,17 +18,16 @@
 	"mothferry/mfsnapshot"
 )
 
-// Keys of the rows that documents live in.
+// Keys of the rows that hold documents.
 const (
 	RevisionKey     mothferry.Key = "config/revision"
 	DocumentsPrefix mothferry.Key = "documents/"
 	tokenPrefix     mothferry.Key = "tokens/"
 )
 
-// tokenRetention is how long the outcome of a change can be found by its token.
+// tokenRetention is how long the result of a change can be found by its token.
 const tokenRetention = 24 * time.Hour
 
-// Attempts of one change and the pause between them.
 const (
 	maxAttempts  = 8
 	attemptPause = 50 * time.Millisecond
@@ -40,7 +39,7 @@
 	// Base is the revision of the document that was edited, 0 for a new one.
 	Base   mothferry.Revision
 	Author string
-	// Token names the change, so that repeating it has no second effect.
+	// Token identifies the change, so that a repetition is not applied again.
 	Token mothferry.Token
 }
 
@@ -50,13 +49,12 @@
 	Clock mothferry.Clock
 }
 
-// Accept makes a change and returns the revision it got. A repeated change
-// returns the revision it got the first time. Two changes of one document
-// that were based on the same revision race: the later fails with
-// ErrDocumentConflict.
+// Accept applies a change and returns its revision. A repeated change returns
+// the revision of its first application. Of two changes of one document that
+// are based on the same revision the later one fails with ErrDocumentConflict.
 //
-// A reply of the table may be lost after its write: the change is then tried
-// again, finds the row of its token and returns what that row holds.
+// If a reply of the table is lost after its write, the retry finds the row of
+// the change's token and returns the revision stored there.
 func (a *Accepter) Accept(ctx context.Context, c Change) (mothferry.Revision, error) {
 	var last error
 	for range maxAttempts {
@@ -72,8 +70,8 @@
 	return 0, trace.Wrap(last)
 }
 
-// isRetryable reports whether an attempt can do better: after a lost reply,
-// or after a race for the revision row with a change of another document.
+// isRetryable reports whether another attempt can succeed: after a lost reply, or
+// after a conflict on the revision row with a change of another document.
 func isRetryable(err error) bool {
 	var conflict *mothferry.ErrConflict
 	var unavailable *mothferry.ErrUnavailable
@@ -96,8 +94,8 @@
 		return 0, err
 	}
 	if inForce.Revision > 0 && reflect.DeepEqual(inForce.Document, c.Document) {
-		// The document says nothing new: whoever applies it from version
-		// control again has what it wants, and no revision is spent on it.
+		// The document is unchanged, as when it is applied again from version
+		// control: no new revision is needed.
 		return inForce.Revision, nil
 	}
 	if err := checkBase(c, inForce); err != nil {
@@ -137,7 +135,7 @@
 	return mfdocument.DecodeRecord(row.Value)
 }
 
-// checkBase refuses a change whose document was changed since it was read.
+// checkBase rejects a change whose document was changed since it was read.
 func checkBase(c Change, inForce mfdocument.Record) error {
 	if inForce.Revision == c.Base {
 		return nil
@@ -151,8 +149,8 @@
 	})
 }
 
-// ReadAll returns every document as of one moment. A document that cannot be
-// read fails the whole: nothing is adopted in part.
+// ReadAll returns every document as of one moment. If any document cannot be
+// decoded, ReadAll fails and returns none.
 func ReadAll(ctx context.Context, table mothferry.Table) (mfsnapshot.Delta, error) {
 	query := mothferry.Query{Keys: []mothferry.Key{RevisionKey}, Prefixes: []mothferry.Key{DocumentsPrefix}}
 	rows, err := table.Read(ctx, query)
--- a/mfchange/change_test.go
+++ b/mfchange/change_test.go
@@ -22,10 +22,9 @@
 	return Change{Document: d, Base: base, Author: author, Token: mothferry.Token(fmt.Sprint(author, "-", service, "-", runners))}
 }
 
-// TestLostReply: symptom, an operator's change is refused as a conflict with
-// itself, or counted twice. Sequence: the table commits, its reply is lost,
-// the daemon tries again. Cause: without the token's row the second try sees
-// a document newer than the one that was edited.
+// TestLostReply guards against a change that conflicts with itself or gets two
+// revisions: the table commits, its reply is lost, and without the token's row the
+// retry would see a document newer than the edited one.
 func TestLostReply(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	accepter := &Accepter{Table: table, Clock: mfclock.System{}}
@@ -41,8 +40,8 @@
 	assert.Equal(t, delta.Revision, mothferry.Revision(1))
 }
 
-// TestUnchangedDocumentGetsNoRevision: a document that says nothing new is accepted without
-// a new revision, whatever revision it was edited from.
+// TestUnchangedDocumentGetsNoRevision checks that an unchanged document is accepted
+// without a new revision, whatever its base revision.
 func TestUnchangedDocumentGetsNoRevision(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	accepter := &Accepter{Table: table, Clock: mfclock.System{}}
@@ -55,8 +54,8 @@
 	}
 }
 
-// TestOperatorsRace: two operators edit the same revision. One is accepted;
-// the other is told who changed what, and nothing of its change is in force.
+// TestOperatorsRace lets two operators edit the same revision. One change is
+// accepted; the other fails with the author and the difference and has no effect.
 func TestOperatorsRace(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	accepter := &Accepter{Table: table, Clock: mfclock.System{}}
@@ -80,7 +79,7 @@
 	assert.Equal(t, conflict.Difference, fmt.Sprintf("-runners: %d\n+runners: %d\n", 6-loser, 5+loser))
 }
 
-// TestTableDown: a change is refused, not half made, while the table is out.
+// TestTableDown checks that a change fails while the table is unavailable.
 func TestTableDown(t *testing.T) {
 	clock := mffake.NewClock()
 	table := mffake.NewTable(clock)
@@ -103,9 +102,9 @@
 	}
 }
 
-// TestRevisionsAreDense: whatever is lost, repeated or raced, each accepted
-// change has a revision of its own and the documents read back are the last
-// accepted of each service.
+// TestRevisionsAreDense loses calls and replies and submits stale changes. Each
+// accepted change has the next revision, and the documents read back are the last
+// accepted ones of each service.
 func TestRevisionsAreDense(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		table := mffake.NewTable(mfclock.System{})
@@ -141,8 +140,8 @@
 	})
 }
 
-// TestReadAllIsAllOrNothing: a row that cannot be read, or that is newer
-// than the revision it was read with, fails the whole.
+// TestReadAllIsAllOrNothing checks that ReadAll returns no documents if a row cannot be
+// decoded or is newer than the revision that was read with it.
 func TestReadAllIsAllOrNothing(t *testing.T) {
 	for _, value := range []string{"{", `{"revision": 0}`, `{"revision": 9, "document": {"service": "s"}}`} {
 		table := mffake.NewTable(mfclock.System{})
--- a/mfcontrol/control.go
+++ b/mfcontrol/control.go
@@ -1,6 +1,6 @@
-// Package mfcontrol makes the fleet follow the documents: for each shard that
-// this daemon holds it reads the shard's state, plans, publishes the plan and
-// asks the workers for it.
+// Package mfcontrol reconciles the fleet with the service documents: for each
+// shard that this daemon holds it reads the shard's state, plans, publishes the
+// plan and sends the orders to the workers.
 package mfcontrol
 
 import (
@@ -25,44 +25,44 @@
 	"mothferry/mfsnapshot"
 )
 
-// Leases tells which shards this daemon holds.
+// Leases reports which shards this daemon holds.
 type Leases interface {
 	Holdings() []mflease.Holding
 	Valid(f mothferry.Fence) bool
 	Lost(f mothferry.Fence)
 }
 
-// Peers is what control needs of the mesh.
+// Peers is the part of the peer mesh that control uses.
 type Peers interface {
 	States() []mfpeer.State
 	PushPlacement(ctx context.Context, p mfplacement.Record)
 }
 
-// StatusSource tells what this daemon itself has in force and in flight.
+// StatusSource reports what this daemon itself has in force and in flight.
 type StatusSource interface {
 	Status() mfpeer.Status
 }
 
-// ErrLeaseExpired reports that the lease of a shard lapsed before an act. What was
-// planned is given up: acting on it later, after the lease was renewed, would
-// start tasks that no published placement holds.
+// ErrLeaseExpired reports that the lease of a shard expired before a plan was
+// published. The plan is dropped: executing it later, after the lease was
+// renewed, would start tasks that are in no published placement.
 type ErrLeaseExpired struct {
 	Fence mothferry.Fence
 }
 
 // Error implements error.
 func (e *ErrLeaseExpired) Error() string {
-	return fmt.Sprintf("lease of shard %s lapsed in epoch %d", e.Fence.Shard, e.Fence.Epoch)
+	return fmt.Sprintf("lease of shard %s expired in epoch %d", e.Fence.Shard, e.Fence.Epoch)
 }
 
-// Controller acts for the shards that this daemon holds.
+// Controller plans and sends orders for the shards that this daemon holds.
 type Controller struct {
 	DataCentre mothferry.DataCentre
 	Platform   mothferry.Platform
 	Clock      mothferry.Clock
 	Interval   time.Duration
-	// Notice is how long after a daemon was last heard it counts as out, on
-	// top of the longest deadline of the leaving runner's service.
+	// Notice plus the request deadline of a leaving runner's service is how long
+	// after its last heartbeat a daemon counts as having no request in flight.
 	Notice time.Duration
 	Leases Leases
 	Peers  Peers
@@ -76,13 +76,13 @@
 	hosts        []hostRow
 	hostsVersion mothferry.Version
 	hostsLoaded  bool
-	// hostList is the platform's host list, and listedAt when it was read.
+	// hostList is the platform's host list, and hostListReadAt when it was read.
 	hostList       map[mothferry.HostID]mothferry.HostState
 	hostListReadAt time.Time
 	failures       mflog.FailureLog
 }
 
-// Run plans and acts until ctx ends.
+// Run plans and sends orders until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.shards = map[mothferry.PoolID]*shardState{}
 	c.failures = mflog.FailureLog{Log: c.Log}
@@ -96,26 +96,26 @@
 	}
 }
 
-// round brings the shards that are due one plan further.
+// round plans the shards whose next plan is due or whose documents or hosts have changed.
 func (c *Controller) round(ctx context.Context, holdings []mflease.Holding) {
 	if err := c.refreshHosts(ctx); err != nil {
-		c.failures.Failed(err, "Hosts cannot be read.")
+		c.failures.Failed(err, "hosts could not be read")
 		return
 	}
-	c.failures.Succeeded("Hosts can be read again.")
+	c.failures.Succeeded("hosts can be read again")
 	now := c.Clock.Now()
 	for _, h := range holdings {
-		k := c.stateOf(h)
-		if now.Before(k.nextPlan) && k.revision == c.Store.Current().Revision && k.hostsVersion == c.hostsVersion {
+		state := c.stateOf(h)
+		if now.Before(state.nextPlan) && state.revision == c.Store.Current().Revision && state.hostsVersion == c.hostsVersion {
 			continue
 		}
 		if err := c.refreshHostList(ctx, now); err != nil {
-			c.Log.WithError(err).Warn("Host list could not be read.")
+			c.Log.WithError(err).Warn("host list could not be read")
 			return
 		}
-		if err := c.planShard(ctx, h, k); err != nil && ctx.Err() == nil {
-			k.invalidate()
-			c.Log.WithField("shard", h.Fence.Shard).WithError(err).Warn("Shard could not be brought up to its documents.")
+		if err := c.planShard(ctx, h, state); err != nil && ctx.Err() == nil {
+			state.invalidate()
+			c.Log.WithField("shard", h.Fence.Shard).WithError(err).Warn("shard could not be reconciled with its documents")
 		}
 	}
 }
@@ -137,44 +137,44 @@
 	return slices.Compact(pools)
 }
 
-// planShard brings one shard one plan further.
-func (c *Controller) planShard(ctx context.Context, h mflease.Holding, k *shardState) error {
-	if err := c.loadPlacement(ctx, k); err != nil {
+// planShard makes, publishes and executes one plan of a shard.
+func (c *Controller) planShard(ctx context.Context, h mflease.Holding, state *shardState) error {
+	if err := c.loadPlacement(ctx, state); err != nil {
 		return err
 	}
 	snapshot := c.Store.Current()
-	if snapshot.Revision == 0 || snapshot.Revision < k.placement.Revision {
-		// This daemon has no documents yet, or older ones than the last plan
-		// was made by. Planning by them would take runners away that the
-		// documents in force ask for.
+	if snapshot.Revision == 0 || snapshot.Revision < state.placement.Revision {
+		// This daemon has no documents yet, or older ones than those of the last
+		// plan. Planning by them would remove runners that the current documents
+		// ask for.
 		return nil
 	}
-	k.revision, k.hostsVersion = snapshot.Revision, c.hostsVersion
-	in, err := c.planInput(ctx, k, snapshot)
+	state.revision, state.hostsVersion = snapshot.Revision, c.hostsVersion
+	in, err := c.planInput(ctx, state, snapshot)
 	if err != nil {
 		return err
 	}
 	out := mfplace.Plan(in)
 	if out.Changed {
-		if err := c.publish(ctx, h, out.Placement, k); err != nil {
+		if err := c.publish(ctx, h, out.Placement, state); err != nil {
 			return err
 		}
 	}
 	for service, n := range out.Unplaced {
-		c.Log.WithField("service", service).WithField("runners", n).WithField("shard", h.Fence.Shard).Warn("No host has room.")
+		c.Log.WithField("service", service).WithField("runners", n).WithField("shard", h.Fence.Shard).Warn("runners are unplaced: no host has free capacity")
 	}
-	k.schedule(c.Clock.Now(), c.Interval, settled(out) && !anyMoving(in.Hosts))
+	state.schedule(c.Clock.Now(), c.Interval, settled(out) && !anyMoving(in.Hosts))
 	if err := c.sendOrders(ctx, h.Fence, out); err != nil {
 		return err
 	}
 	return c.releaseEmptyHosts(ctx, h, in.Hosts, out)
 }
 
-// planInput gathers what a plan depends on. The hosts and the placement come from
-// what is remembered, see known.
-func (c *Controller) planInput(ctx context.Context, k *shardState, snapshot *mfsnapshot.Snapshot) (mfplace.Input, error) {
-	shard := k.fence.Shard
-	in := mfplace.Input{Shard: shard, Epoch: k.fence.Epoch, Quiesced: c.quiesced, Previous: k.placement, Revision: snapshot.Revision}
+// planInput collects the input of a plan. The hosts and the placement come from
+// the cache, see shardState.
+func (c *Controller) planInput(ctx context.Context, state *shardState, snapshot *mfsnapshot.Snapshot) (mfplace.Input, error) {
+	shard := state.fence.Shard
+	in := mfplace.Input{Shard: shard, Epoch: state.fence.Epoch, Quiesced: c.quiesced, Previous: state.placement, Revision: snapshot.Revision}
 	reports, err := c.reports(ctx, shard)
 	if err != nil {
 		return in, err
@@ -211,7 +211,7 @@
 	return out, nil
 }
 
-// documentsOf returns those that place runners in a shard, ordered by service.
+// documentsOf returns the documents that place runners in a shard, ordered by service.
 func documentsOf(snapshot *mfsnapshot.Snapshot, s mothferry.Shard) []mfdocument.Document {
 	var documents []mfdocument.Document
 	for _, r := range snapshot.Documents {
@@ -228,8 +228,8 @@
 	return documents
 }
 
-// publish writes a placement, fenced by the shard's row, and passes it on.
-func (c *Controller) publish(ctx context.Context, h mflease.Holding, p mfplacement.Record, k *shardState) error {
+// publish writes a placement, fenced by the shard's row, and pushes it to the peers.
+func (c *Controller) publish(ctx context.Context, h mflease.Holding, p mfplacement.Record, state *shardState) error {
 	data, err := p.Encode()
 	if err != nil {
 		return err
@@ -240,7 +240,7 @@
 	key := mfplacement.Key(h.Fence.Shard)
 	generation := []byte(strconv.FormatUint(uint64(p.Generation), 10))
 	version, err := c.Platform.Table.Commit(ctx, mothferry.Txn{
-		Checks: []mothferry.Check{h.Check, {Key: key, Version: k.version}},
+		Checks: []mothferry.Check{h.Check, {Key: key, Version: state.version}},
 		Writes: []mothferry.Write{
 			{Key: key, Value: data},
 			{Key: mfplacement.GenerationKey(h.Fence.Shard), Value: generation},
@@ -257,14 +257,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	k.placement, k.version = p, version
+	state.placement, state.version = p, version
 	c.Store.AdoptPlacement(p)
 	c.Peers.PushPlacement(ctx, p)
 	return nil
 }
 
-// sendOrders asks the workers for what the plan says. Each request carries the
-// epoch; a worker that has seen a later one refuses.
+// sendOrders sends the plan's starts and stops to the workers. Each order carries
+// the epoch; a worker that has seen a later one refuses it.
 func (c *Controller) sendOrders(ctx context.Context, f mothferry.Fence, out mfplace.Output) error {
 	for _, s := range out.Starts {
 		if !c.Leases.Valid(f) {
@@ -295,8 +295,8 @@
 
 // quiesced reports whether every entry host of the data centre has a leaving
 // runner's state in force and nothing in flight at the shard's leaving
-// runners. A host not heard for the notice and the service's deadline has
-// nothing in flight any more that it could still bring to an end.
+// runners. A host without a heartbeat for Notice plus the service's deadline is
+// ignored: all its requests have passed their deadline.
 func (c *Controller) quiesced(r mfplacement.Runner) bool {
 	pool := c.poolOf(r.Task)
 	if !quiescedIn(c.Self.Status(), pool, r.LeavingSince) {
@@ -321,7 +321,7 @@
 	return shard.Generation >= since && shard.InFlightLeaving == 0
 }
 
-// poolOf returns the pool of a task that this data centre has in force.
+// poolOf returns the pool whose current placement has a task.
 func (c *Controller) poolOf(task mothferry.TaskID) mothferry.PoolID {
 	for pool, p := range c.Store.Current().Placements {
 		if slices.ContainsFunc(p.Runners, func(r mfplacement.Runner) bool { return r.Task == task }) {
--- a/mfcontrol/control_test.go
+++ b/mfcontrol/control_test.go
@@ -20,7 +20,7 @@
 
 var shard = mothferry.Shard{DataCentre: "dc1", Pool: "p"}
 
-// fakeLeases holds one shard as long as it is told to.
+// fakeLeases holds one shard while valid is set.
 type fakeLeases struct{ valid bool }
 
 func (l *fakeLeases) holding() mflease.Holding {
@@ -37,7 +37,7 @@
 func (noPeers) PushPlacement(context.Context, mfplacement.Record) {}
 func (noPeers) Status() mfpeer.Status                             { return mfpeer.Status{} }
 
-// newController returns a controller over a stand-in with two hosts.
+// newController returns a controller of a stand-in platform with two hosts.
 func newController(t *testing.T) (*Controller, *fakeLeases) {
 	t.Helper()
 	standin, err := mfstandin.New(mfclock.System{}, mfstandin.Fleet{
@@ -53,7 +53,7 @@
 	}, held
 }
 
-// putDocument puts a document in force that asks for runners in the shard.
+// putDocument puts a document in force that asks for a number of runners in the shard.
 func putDocument(c *Controller, runners int, revision mothferry.Revision) {
 	d := mfdocument.Default()
 	d.Service, d.Runners = "s", runners
@@ -74,10 +74,9 @@
 	return record
 }
 
-// TestStaleDocumentsPlanNothing: symptom, a service loses its runners when a
-// shard changes hands. Sequence: the new holder has not heard of the latest
-// documents, or has none yet, and plans by what it has. Cause: a plan that does
-// not know by which documents the last one was made.
+// TestStaleDocumentsPlanNothing guards against a service that loses its runners
+// when a shard changes holder: the new holder has no documents yet, or older ones
+// than those of the last plan, and must not plan by them.
 func TestStaleDocumentsPlanNothing(t *testing.T) {
 	c, held := newController(t)
 	putDocument(c, 4, 5)
@@ -98,8 +97,8 @@
 	assert.Assert(t, storedPlacement(t, c).Generation > before.Generation)
 }
 
-// TestExpiredLeaseStartsNothing: a holder whose lease lapsed publishes nothing
-// and starts nothing.
+// TestExpiredLeaseStartsNothing checks that a holder whose lease has expired
+// publishes no placement and starts no task.
 func TestExpiredLeaseStartsNothing(t *testing.T) {
 	c, held := newController(t)
 	putDocument(c, 4, 5)
--- a/mfcontrol/release.go
+++ b/mfcontrol/release.go
@@ -19,21 +19,21 @@
 	version mothferry.Version
 }
 
-// anyMoving reports whether a host is on its way out of the pool.
+// anyMoving reports whether any host is being moved to another pool.
 func anyMoving(hosts []mfplace.Host) bool {
 	return slices.ContainsFunc(hosts, func(h mfplace.Host) bool { return h.Record.MoveTo != "" })
 }
 
-// releaseEmptyHosts gives hosts to the pools that they move to, once no runner is
-// placed there and the worker reports no task. The transaction checks the
-// shard's row and the host's: neither a holder that was taken over nor one
-// that missed an operator's change can release a host.
+// releaseEmptyHosts releases hosts to the pools that they move to, once no runner
+// is placed on them and their workers report no task. The transaction checks the
+// shard's row and the host's: neither a holder that has lost its lease nor one that
+// missed an operator's change can release a host.
 func (c *Controller) releaseEmptyHosts(ctx context.Context, h mflease.Holding, hosts []mfplace.Host, out mfplace.Output) error {
-	for _, k := range hosts {
-		if k.Record.MoveTo == "" || !k.Reported || len(k.Tasks) > 0 || out.Changed || hasRunnerOn(out.Placement, k.Record.Host) {
+	for _, host := range hosts {
+		if host.Record.MoveTo == "" || !host.Reported || len(host.Tasks) > 0 || out.Changed || hasRunnerOn(out.Placement, host.Record.Host) {
 			continue
 		}
-		if err := c.releaseHost(ctx, h, k.Record); err != nil {
+		if err := c.releaseHost(ctx, h, host.Record); err != nil {
 			return err
 		}
 	}
@@ -45,7 +45,7 @@
 }
 
 func (c *Controller) releaseHost(ctx context.Context, h mflease.Holding, r mfhost.Record) error {
-	i := slices.IndexFunc(c.hosts, func(k hostRow) bool { return k.record.Host == r.Host })
+	i := slices.IndexFunc(c.hosts, func(row hostRow) bool { return row.record.Host == r.Host })
 	if i < 0 || !c.Leases.Valid(h.Fence) {
 		return nil
 	}
@@ -55,10 +55,10 @@
 	}
 	txn.Checks = append(txn.Checks, h.Check)
 	if _, err := c.Platform.Table.Commit(ctx, txn); err != nil {
-		// Whether it took effect shows in the host's row, which is read anew.
+		// The host's row is read again, which shows whether the change was applied.
 		c.hostsLoaded = false
 		return trace.Wrap(err)
 	}
-	c.Log.WithField("host", r.Host).WithField("from", r.Pool).WithField("to", r.MoveTo).Info("Host is released.")
+	c.Log.WithField("host", r.Host).WithField("from", r.Pool).WithField("to", r.MoveTo).Info("host released to its new pool")
 	return nil
 }
--- a/mfcontrol/shardstate.go
+++ b/mfcontrol/shardstate.go
@@ -13,58 +13,58 @@
 	"mothferry/mfplacement"
 )
 
-// maxIdleFactor is how many times the interval a shard waits at the most while
-// nothing happens there. It bounds how late the death of a worker is noticed;
-// requests are led around dead runners long before by the daemons themselves.
+// maxIdleFactor is the maximum time between two plans of a settled shard, in
+// intervals. It bounds how late the failure of a worker is noticed; the entry hosts
+// stop routing requests to failed runners much earlier.
 const maxIdleFactor = 8
 
-// hostListIntervals is how many intervals the host list is kept for.
+// hostListIntervals is the number of intervals for which the host list is cached.
 const hostListIntervals = 4
 
-// shardState is what a holder remembers of a shard. Only the holder writes the
-// placement, checked by the shard's row, so what it last wrote is what the row
-// holds; reading it back with each plan would cost the platform's bytes for
-// nothing. A new epoch or any error forgets it.
+// shardState is what a holder caches of a shard. Only the holder writes the
+// placement, checked by the shard's row, so the row holds what it wrote last;
+// reading it with each plan would only cost bandwidth to the platform. A new
+// epoch or any error invalidates it.
 type shardState struct {
 	fence     mothferry.Fence
 	loaded    bool
 	placement mfplacement.Record
 	version   mothferry.Version
-	// revision and hostsVersion are what the last plan took into account.
+	// revision and hostsVersion are those that the last plan was based on.
 	revision     mothferry.Revision
 	hostsVersion mothferry.Version
-	// nextPlan is when the next plan is made, and wait the time between the last two.
+	// nextPlan is when the next plan is made, and planInterval the time between two plans.
 	nextPlan     time.Time
 	planInterval time.Duration
 }
 
-// stateOf returns what is known of a held shard, nothing for a new epoch.
+// stateOf returns the cached state of a held shard; it is empty for a new epoch.
 func (c *Controller) stateOf(h mflease.Holding) *shardState {
-	k, ok := c.shards[h.Fence.Shard.Pool]
-	if !ok || k.fence != h.Fence {
-		k = &shardState{fence: h.Fence}
-		c.shards[h.Fence.Shard.Pool] = k
+	state, ok := c.shards[h.Fence.Shard.Pool]
+	if !ok || state.fence != h.Fence {
+		state = &shardState{fence: h.Fence}
+		c.shards[h.Fence.Shard.Pool] = state
 	}
-	return k
+	return state
 }
 
-// invalidate makes the next plan read everything anew, at the next round.
-func (k *shardState) invalidate() {
-	k.loaded, k.nextPlan, k.planInterval = false, time.Time{}, 0
+// invalidate makes the next round read the placement and plan again.
+func (s *shardState) invalidate() {
+	s.loaded, s.nextPlan, s.planInterval = false, time.Time{}, 0
 }
 
-// schedule sets when the next plan is made: soon while something is under
-// way, later and later while nothing is.
-func (k *shardState) schedule(now time.Time, interval time.Duration, settled bool) {
-	k.planInterval = min(2*k.planInterval, maxIdleFactor*interval)
-	if !settled || k.planInterval == 0 {
-		k.planInterval = interval
+// schedule sets when the next plan is made: after one interval while changes are
+// in progress, after doubling intervals while the shard is settled.
+func (s *shardState) schedule(now time.Time, interval time.Duration, settled bool) {
+	s.planInterval = min(2*s.planInterval, maxIdleFactor*interval)
+	if !settled || s.planInterval == 0 {
+		s.planInterval = interval
 	}
-	// Half an interval is taken off, as rounds are never exactly on time.
-	k.nextPlan = now.Add(k.planInterval - interval/2)
+	// Half an interval is subtracted because rounds are never exactly on time.
+	s.nextPlan = now.Add(s.planInterval - interval/2)
 }
 
-// settled reports whether a plan left nothing to wait for.
+// settled reports whether a plan has no changes in progress.
 func settled(out mfplace.Output) bool {
 	if out.Changed || len(out.Starts)+len(out.Stops) > 0 {
 		return false
@@ -77,28 +77,28 @@
 	return true
 }
 
-// loadPlacement reads the shard's placement unless it is remembered.
-func (c *Controller) loadPlacement(ctx context.Context, k *shardState) error {
-	if k.loaded {
+// loadPlacement reads the shard's placement unless it is cached.
+func (c *Controller) loadPlacement(ctx context.Context, state *shardState) error {
+	if state.loaded {
 		return nil
 	}
-	rows, err := c.Platform.Table.Read(ctx, mothferry.Query{Keys: []mothferry.Key{mfplacement.Key(k.fence.Shard)}})
+	rows, err := c.Platform.Table.Read(ctx, mothferry.Query{Keys: []mothferry.Key{mfplacement.Key(state.fence.Shard)}})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	k.placement, k.version = mfplacement.Record{}, 0
+	state.placement, state.version = mfplacement.Record{}, 0
 	for _, r := range rows {
-		k.version = r.Version
-		if k.placement, err = mfplacement.Decode(r.Value); err != nil {
+		state.version = r.Version
+		if state.placement, err = mfplacement.Decode(r.Value); err != nil {
 			return err
 		}
 	}
-	k.loaded = true
+	state.loaded = true
 	return nil
 }
 
-// refreshHosts reads the hosts' rows if any has changed: every change of a
-// host's row changes the data centre's row as well.
+// refreshHosts reads the hosts' rows if any has changed, which the version of the
+// data centre's row shows: it is written with every change of a host's row.
 func (c *Controller) refreshHosts(ctx context.Context) error {
 	key := mfhost.ChangesKey(c.DataCentre)
 	rows, err := c.Platform.Table.Read(ctx, mothferry.Query{Keys: []mothferry.Key{key}})
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// refreshHostList reads the platform's host list, one for all shards, unless it
-// was read a moment ago. The list lags by itself; a little more does no harm,
-// and it is as long as the data centre has hosts.
+// refreshHostList reads the platform's host list for all shards if the cached one
+// is too old. The list is delayed anyway, so caching it does no harm, and it is long:
+// it has an entry for each host of the data centre.
 func (c *Controller) refreshHostList(ctx context.Context, now time.Time) error {
 	if c.hostList != nil && now.Sub(c.hostListReadAt) < hostListIntervals*c.Interval {
 		return nil
--- a/mffleet/daemon.go
+++ b/mffleet/daemon.go
@@ -291,7 +291,8 @@
 // for a while, since the balancer notices only at its next health check that this host
 // is stopping.
 func (d *Daemon) shutDown(callers *http.Server) {
-	<-d.Clock.After(min(maxStopDelay, d.Settings.Grace/2))
+	delay := min(maxStopDelay, d.Settings.Grace/2)
+	<-d.Clock.After(delay)
 	ctx, cancel := context.WithTimeout(context.Background(), d.Settings.Grace/4)
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
--- a/mfhost/change.go
+++ b/mfhost/change.go
@@ -10,7 +10,7 @@
 	"mothferry"
 )
 
-// ErrMoving reports that a host is already on its way to another pool.
+// ErrMoving reports that a host is already being moved to another pool.
 type ErrMoving struct {
 	Host   mothferry.HostID
 	To     mothferry.PoolID
@@ -22,23 +22,23 @@
 	return fmt.Sprintf("host %s is already moving to pool %s, as %s asked", e.Host, e.To, e.Author)
 }
 
-// maxAttempts bounds the tries of one change, which races with the holder's
-// release of the host and with other operators.
+// maxAttempts bounds the attempts of one change, which can conflict with the holder's
+// release of the host and with other operators' changes.
 const maxAttempts = 8
 
-// Changer changes hosts as operators ask. Each change is one transaction that
-// checks the host's row, and is idempotent: asked again after a lost reply it
-// finds the row as it is to be and does nothing.
+// Changer applies operators' changes of hosts. Each change is one transaction that
+// checks the host's row, and is idempotent: a repetition after a lost reply finds the
+// requested state and does nothing.
 //
-// A host has one row, and its pool is one field of it, so it never belongs to
-// two pools. An operator only asks for a move; the pool changes in the
-// transaction in which the old pool's holder releases the empty host.
+// A host has one row with one pool field, so it never belongs to two pools. An
+// operator only requests a move; the pool changes in the transaction in which the
+// old pool's holder releases the empty host.
 type Changer struct {
 	Table mothferry.Table
 }
 
-// Move asks for a host to be emptied and moved to another pool. Asking for the
-// pool that it is in calls a move off.
+// Move requests that a host is drained and moved to another pool. A move to the
+// host's current pool cancels a requested move.
 func (c *Changer) Move(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, to mothferry.PoolID, author string) (Record, error) {
 	return c.change(ctx, dc, host, func(r *Record) error {
 		switch {
@@ -56,7 +56,7 @@
 	})
 }
 
-// Drain asks for a host to be emptied, or with undo to take runners again.
+// Drain requests that a host is drained, or with undo that it accepts runners again.
 func (c *Changer) Drain(ctx context.Context, dc mothferry.DataCentre, host mothferry.HostID, undo bool, author string) (Record, error) {
 	state := StateDraining
 	if undo {
@@ -132,8 +132,8 @@
 	return r, trace.Wrap(err)
 }
 
-// Txn returns the transaction that writes a host's record over the given
-// version, and tells the holders of its data centre that a host has changed.
+// Txn returns the transaction that writes a host's record over the given version,
+// and with it the data centre's row that shows holders that a host has changed.
 func (r Record) Txn(version mothferry.Version) (mothferry.Txn, error) {
 	data, err := r.Encode()
 	if err != nil {
@@ -145,8 +145,8 @@
 	}, nil
 }
 
-// Released returns the record of a host that its pool's holder has emptied and
-// gives to the pool that it moves to.
+// Released returns the record of a drained host after its release to the pool that
+// it moves to.
 func (r Record) Released() Record {
 	r.Pool, r.MoveTo, r.State = r.MoveTo, "", StateServing
 	return r
--- a/mfhost/change_test.go
+++ b/mfhost/change_test.go
@@ -14,9 +14,8 @@
 )
 
 // TestOnePool lets operators and holders move, drain and release a host in any
-// order, with lost calls and replies, and holders that act on what they read
-// before. The host's row has one pool at any moment, and the pool changes only
-// in a release, and only to the pool that was asked for.
+// order, with lost calls and replies and with holders whose view is stale. The pool
+// of the host changes only in a release, and only to the requested pool.
 func TestOnePool(t *testing.T) {
 	pools := []mothferry.PoolID{"a", "b", "c"}
 	mffake.Check(t, func(t *rapid.T) {
--- a/mfhost/host.go
+++ b/mfhost/host.go
@@ -1,5 +1,5 @@
 // Package mfhost holds the record of a host: the row of the platform's table
-// that says which one pool the host belongs to.
+// that assigns the host to one pool.
 package mfhost
 
 import (
@@ -18,11 +18,11 @@
 const (
 	// StateServing means that runners may be placed on the host.
 	StateServing State = "serving"
-	// StateDraining means that its runners are being moved away.
+	// StateDraining means that its runners are being relocated.
 	StateDraining State = "draining"
 )
 
-// Record is one host as its table row holds it.
+// Record is the table row of one host.
 type Record struct {
 	Host       mothferry.HostID     `json:"host"`
 	DataCentre mothferry.DataCentre `json:"data_centre"`
@@ -30,9 +30,9 @@
 	Pool       mothferry.PoolID     `json:"pool"`
 	State      State                `json:"state"`
 	Capacity   mothferry.Resources  `json:"capacity"`
-	// MoveTo is the pool that the host goes to once it is empty; none if empty.
+	// MoveTo is the pool that the host moves to once it is drained; empty if none.
 	MoveTo mothferry.PoolID `json:"move_to,omitempty"`
-	// Author is who last asked for a change of the host.
+	// Author is who last requested a change of the host.
 	Author string `json:"author,omitempty"`
 }
 
