--- a/mfclock/clock.go
+++ b/mfclock/clock.go
@@ -1,4 +1,4 @@
-// Package mfclock implements the clock and the randomness of a running daemon.
+// Package mfclock implements the clock and the source of randomness of a daemon.
 package mfclock
 
 import (
@@ -9,7 +9,7 @@
 	"mothferry"
 )
 
-// System is the machine's clock.
+// System is the clock of the operating system.
 type System struct{}
 
 // Now implements mothferry.Clock.
@@ -18,7 +18,7 @@
 // After implements mothferry.Clock.
 func (System) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// SystemRandom is the runtime's randomness, safe for concurrent use.
+// SystemRandom is the runtime's random number generator. It is safe for concurrent use.
 type SystemRandom struct{}
 
 // IntN implements mothferry.Random.
--- a/mfdocument/difference.go
+++ b/mfdocument/difference.go
@@ -28,7 +28,7 @@
 	return out.String()
 }
 
-// writeMissing writes the lines that others lacks.
+// writeMissing writes the lines that others does not contain, each prefixed with sign.
 func writeMissing(out *strings.Builder, sign string, lines, others []string) {
 	count := map[string]int{}
 	for _, l := range others {
--- a/mfdocument/document.go
+++ b/mfdocument/document.go
@@ -1,5 +1,5 @@
-// Package mfdocument holds a team's document of one service: its YAML form,
-// its checks and the row that carries it in the platform's table.
+// Package mfdocument holds a team's document of one service: its YAML form, its
+// validation and its row in the platform's table.
 package mfdocument
 
 import (
@@ -18,23 +18,23 @@
 	"mothferry/mfyaml"
 )
 
-// Class is a document's class of work.
+// Class is the priority class of a service.
 type Class string
 
-// Classes of work, the more urgent first.
+// Priority classes, the more urgent first.
 const (
 	ClassUrgent Class = "urgent"
 	ClassBatch  Class = "batch"
 )
 
-// Document states what one service needs.
+// Document specifies one service and its needs.
 type Document struct {
 	Service mothferry.ServiceID `yaml:"service" json:"service"`
 	Team    mothferry.TeamID    `yaml:"team" json:"team"`
 	Class   Class               `yaml:"class" json:"class"`
-	// Runners is how many runners serve, over all places together.
+	// Runners is the number of runners in all places together.
 	Runners int `yaml:"runners" json:"runners"`
-	// Program names what a worker starts as this service's runner.
+	// Program names the program that a worker starts as this service's runner.
 	Program        string         `yaml:"program" json:"program"`
 	Place          Place          `yaml:"place" json:"place"`
 	Resources      Resources      `yaml:"resources" json:"resources"`
@@ -44,7 +44,7 @@
 	Customers      Customers      `yaml:"customers" json:"customers"`
 }
 
-// Place says where runners may run.
+// Place restricts where runners may run.
 type Place struct {
 	DataCentres []mothferry.DataCentre `yaml:"data_centres" json:"data_centres"`
 	Pools       []mothferry.PoolID     `yaml:"pools" json:"pools"`
@@ -72,18 +72,18 @@
 	Connections mothferry.Connections `yaml:"connections" json:"connections"`
 }
 
-// Unavailability is the budget: what the team tolerates.
+// Unavailability is the unavailability budget of the service.
 type Unavailability struct {
-	// Runners may be out at the same time, whatever the cause.
+	// Runners is how many runners may be unavailable at the same time, whatever the cause.
 	Runners int `yaml:"runners" json:"runners"`
-	// Time is how long in each Window fewer than Runners-Unavailability.Runners may serve.
+	// Time is for how long in each Window more than that many runners may be unavailable.
 	Time   time.Duration `yaml:"time" json:"time"`
 	Window time.Duration `yaml:"window" json:"window"`
 }
 
-// Requests says how requests of the service are treated.
+// Requests specifies how requests of the service are handled.
 type Requests struct {
-	// Deadline holds for a request that states no shorter one.
+	// Deadline applies to a request that states no shorter one.
 	Deadline time.Duration `yaml:"deadline" json:"deadline"`
 	// Repeatable lists the requests that may run more than once.
 	Repeatable []Repeatable `yaml:"repeatable,omitempty" json:"repeatable,omitempty"`
@@ -97,7 +97,7 @@
 
 // Customers holds limits for each customer.
 type Customers struct {
-	// InFlight bounds one customer's requests in work or waiting at one entry host.
+	// InFlight bounds one customer's requests being handled or queued at one entry host.
 	InFlight int `yaml:"in_flight" json:"in_flight"`
 	// Named overrides InFlight for single customers.
 	Named map[mothferry.CustomerID]int `yaml:"named,omitempty" json:"named,omitempty"`
@@ -161,7 +161,7 @@
 	return nil, trace.BadParameter("memory of %d bytes has no unit", int64(m))
 }
 
-// Default returns the values that hold where a document is silent.
+// Default returns the values of fields that a document does not state.
 func Default() Document {
 	return Document{
 		Class:     ClassUrgent,
@@ -173,15 +173,15 @@
 	}
 }
 
-// Parse reads and checks a document; file is named in its problems.
+// Parse decodes and validates a document; file is named in the reported problems.
 func Parse(file string, data []byte) (Document, error) {
 	document := Default()
-	text := mfyaml.Decode(file, data, &document)
-	if err := text.Err(); err != nil {
+	v := mfyaml.Decode(file, data, &document)
+	if err := v.Err(); err != nil {
 		return Document{}, trace.Wrap(err)
 	}
-	document.check(text)
-	if err := text.Err(); err != nil {
+	document.check(v)
+	if err := v.Err(); err != nil {
 		return Document{}, trace.Wrap(err)
 	}
 	return document, nil
@@ -196,92 +196,92 @@
 	maxWindow   = 366 * 24 * time.Hour
 )
 
-func (d *Document) check(text *mfyaml.Validator) {
+func (d *Document) check(v *mfyaml.Validator) {
 	if !serviceName.MatchString(string(d.Service)) {
-		text.Reject("service", "must be a name of lower-case letters, digits and dashes, up to 63")
+		v.Reject("service", "must be a name of lower-case letters, digits and dashes, up to 63")
 	}
 	if d.Team == "" {
-		text.Reject("team", "must name the team that owns the document")
+		v.Reject("team", "must name the team that owns the document")
 	}
 	if d.Class != ClassUrgent && d.Class != ClassBatch {
-		text.Reject("class", "must be urgent or batch")
+		v.Reject("class", "must be urgent or batch")
 	}
 	if d.Runners < 0 || d.Runners > maxRunners {
-		text.Reject("runners", "must be from 0 to %d", maxRunners)
+		v.Reject("runners", "must be from 0 to %d", maxRunners)
 	}
 	if d.Program == "" {
-		text.Reject("program", "must name what a worker starts")
+		v.Reject("program", "must name what a worker starts")
 	}
-	checkNames(text, "place.data_centres", d.Place.DataCentres)
-	checkNames(text, "place.pools", d.Place.Pools)
+	checkNames(v, "place.data_centres", d.Place.DataCentres)
+	checkNames(v, "place.pools", d.Place.Pools)
 	if d.Resources.Accelerators < 0 {
-		text.Reject("resources.accelerators", "must not be negative")
+		v.Reject("resources.accelerators", "must not be negative")
 	}
 	if d.Runner.Slots < 1 {
-		text.Reject("runner.slots", "must be above 0")
+		v.Reject("runner.slots", "must be above 0")
 	}
 	if d.Runner.Connections < mothferry.Connections(d.Runner.Slots) {
-		text.Reject("runner.connections", "must be at least runner.slots (%d)", d.Runner.Slots)
+		v.Reject("runner.connections", "must be at least runner.slots (%d)", d.Runner.Slots)
 	}
-	d.checkUnavailability(text)
-	d.checkRequests(text)
+	d.checkUnavailability(v)
+	d.checkRequests(v)
 	if d.Customers.InFlight < 1 {
-		text.Reject("customers.in_flight", "must be above 0")
+		v.Reject("customers.in_flight", "must be above 0")
 	}
 	for name, limit := range d.Customers.Named {
 		if limit < 1 {
-			text.Reject("customers.named."+string(name), "must be above 0")
+			v.Reject("customers.named."+string(name), "must be above 0")
 		}
 	}
 }
 
-func (d *Document) checkUnavailability(text *mfyaml.Validator) {
+func (d *Document) checkUnavailability(v *mfyaml.Validator) {
 	u := d.Unavailability
 	if u.Runners < 0 || u.Runners > d.Runners {
-		text.Reject("unavailability.runners", "must be from 0 to runners (%d)", d.Runners)
+		v.Reject("unavailability.runners", "must be from 0 to runners (%d)", d.Runners)
 	}
 	if u.Window <= 0 || u.Window > maxWindow {
-		text.Reject("unavailability.window", "must be above 0 and at most %s", maxWindow)
+		v.Reject("unavailability.window", "must be above 0 and at most %s", maxWindow)
 	}
 	if u.Time < 0 || u.Time > u.Window {
-		text.Reject("unavailability.time", "must be from 0 to the window")
+		v.Reject("unavailability.time", "must be from 0 to the window")
 	}
 }
 
-func (d *Document) checkRequests(text *mfyaml.Validator) {
+func (d *Document) checkRequests(v *mfyaml.Validator) {
 	if d.Requests.Deadline <= 0 || d.Requests.Deadline > maxDeadline {
-		text.Reject("requests.deadline", "must be above 0 and at most %s", maxDeadline)
+		v.Reject("requests.deadline", "must be above 0 and at most %s", maxDeadline)
 	}
 	for i, r := range d.Requests.Repeatable {
 		field := "requests.repeatable." + strconv.Itoa(i)
 		if len(r.Methods) == 0 {
-			text.Reject(field+".methods", "must list at least one method")
+			v.Reject(field+".methods", "must list at least one method")
 		}
 		for _, m := range r.Methods {
 			if m == "" || m != strings.ToUpper(m) {
-				text.Reject(field+".methods", "must be methods in capitals such as GET, not %q", m)
+				v.Reject(field+".methods", "must be methods in capitals such as GET, not %q", m)
 			}
 		}
 		if !strings.HasPrefix(r.Path, "/") {
-			text.Reject(field+".path", "must begin with /")
+			v.Reject(field+".path", "must begin with /")
 		}
 	}
 }
 
-func checkNames[T ~string](text *mfyaml.Validator, field string, names []T) {
+func checkNames[T ~string](v *mfyaml.Validator, field string, names []T) {
 	if len(names) == 0 {
-		text.Reject(field, "must list at least one")
+		v.Reject(field, "must list at least one")
 	}
 	for i, n := range names {
 		if n == "" || strings.Contains(string(n), "/") || slices.Contains(names[:i], n) {
-			text.Reject(fmt.Sprintf("%s.%d", field, i), "must be a name without a slash, listed once")
+			v.Reject(fmt.Sprintf("%s.%d", field, i), "must be a name without a slash, listed once")
 		}
 	}
 }
 
 // MayRepeat reports whether a request of this method and path may run more
-// than once. The path is cleaned first, so that "/a/../pay" is judged as
-// "/pay" and cannot pass under a prefix that it does not belong to.
+// than once. The path is cleaned first, so that "/a/../pay" is matched as "/pay"
+// and not by the prefix "/a".
 func (d *Document) MayRepeat(method, requestPath string) bool {
 	clean := path.Clean("/" + requestPath)
 	for _, r := range d.Requests.Repeatable {
@@ -305,17 +305,17 @@
 	return d.Customers.InFlight
 }
 
-// Share returns how many of the document's runners belong to a shard. The
-// places share them evenly in the order of the document, so that every shard
-// holder works out its own part without talking to the others.
+// Share returns how many of the document's runners belong to a shard. They are
+// distributed evenly over the places in the order of the document, so that every
+// shard holder computes its own number without coordination.
 func (d *Document) Share(s mothferry.Shard) int {
 	centre := slices.Index(d.Place.DataCentres, s.DataCentre)
 	pool := slices.Index(d.Place.Pools, s.Pool)
 	if centre < 0 || pool < 0 {
 		return 0
 	}
-	// Data centres come first, so that the remainder is spread over them
-	// before a second pool of the same data centre gets a part.
+	// The remainder is spread over the data centres first, before a second pool of
+	// the same data centre gets a runner.
 	rank := pool*len(d.Place.DataCentres) + centre
 	places := len(d.Place.DataCentres) * len(d.Place.Pools)
 	share := d.Runners / places
@@ -325,7 +325,7 @@
 	return share
 }
 
-// Record is a document as accepted: the row of the platform's table.
+// Record is an accepted document: its row in the platform's table.
 type Record struct {
 	Document Document           `json:"document"`
 	Revision mothferry.Revision `json:"revision"`
--- a/mfdocument/document_test.go
+++ b/mfdocument/document_test.go
@@ -43,8 +43,8 @@
 	assert.DeepEqual(t, record.Document, d)
 }
 
-// TestParseRejects shows that an impossible document is refused whole, with
-// the line and field of each problem.
+// TestParseRejects checks that an invalid document is rejected with the line and
+// field of its problem.
 func TestParseRejects(t *testing.T) {
 	for _, k := range []struct {
 		from, to, field string
@@ -75,8 +75,7 @@
 	}
 }
 
-// TestMayRepeat shows that a path cannot be dressed up to fall under a prefix
-// that it does not belong to.
+// TestMayRepeat checks that a path matches only prefixes of its cleaned form.
 func TestMayRepeat(t *testing.T) {
 	d, err := Parse("good.yaml", []byte(validDocument))
 	assert.NilError(t, err)
@@ -96,8 +95,8 @@
 	}
 }
 
-// TestShareAddsUp shows that the shards' shares are even and add up to the
-// document's runners, though each is worked out alone.
+// TestShareAddsUp checks that the shards' shares are even and add up to the
+// document's runners.
 func TestShareAddsUp(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		d := Document{Runners: rapid.IntRange(0, 500).Draw(t, "runners")}
@@ -107,21 +106,21 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "pools") {
 			d.Place.Pools = append(d.Place.Pools, mothferry.PoolID(fmt.Sprint("pool", i)))
 		}
-		total, least, most := 0, d.Runners, 0
+		total, smallest, largest := 0, d.Runners, 0
 		for _, dc := range d.Place.DataCentres {
 			for _, p := range d.Place.Pools {
 				n := d.Share(mothferry.Shard{DataCentre: dc, Pool: p})
-				total, least, most = total+n, min(least, n), max(most, n)
+				total, smallest, largest = total+n, min(smallest, n), max(largest, n)
 			}
 		}
 		assert.Equal(t, total, d.Runners)
-		assert.Assert(t, most-least <= 1)
+		assert.Assert(t, largest-smallest <= 1)
 		assert.Equal(t, d.Share(mothferry.Shard{DataCentre: "elsewhere", Pool: "pool0"}), 0)
 	})
 }
 
-// FuzzParse shows that no text makes the parser panic, and that what it
-// accepts survives a round trip.
+// FuzzParse checks that no input makes the parser panic, and that accepted
+// documents survive a round trip.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validDocument))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/mflog/bounded.go
+++ b/mflog/bounded.go
@@ -8,34 +8,33 @@
 	"time"
 )
 
-// BoundedWriter passes lines on to a slower writer without ever making the caller
-// wait. Lines that come while its room is full are dropped and counted; the
-// count is written as a line of its own as soon as there is room.
+// BoundedWriter queues lines for a slower writer and never blocks the caller. Lines
+// that arrive while the queue is full are dropped and counted; the count is written
+// as a line of its own as soon as the queue is empty.
 //
-// What it guards against: an output that does not take lines (a full pipe, a
-// collector that stands still) would otherwise stop whoever logs, and with it
-// leases, commits and callers.
+// Without it, an output that accepts no lines (a full pipe, a stalled collector)
+// would block the goroutines that log, and with them leases, commits and callers.
 type BoundedWriter struct {
 	Output io.Writer
 	lines  chan []byte
-	// Dropped counts lines that were not written.
+	// Dropped counts the lines that were dropped.
 	Dropped atomic.Int64
-	// closing is closed by Close. The queue itself stays open: whoever still logs
-	// would panic.
+	// closing is closed by Close. The queue itself stays open, since a later write to a
+	// closed channel would panic.
 	closing chan struct{}
 	once    sync.Once
 	done    chan struct{}
 }
 
 const (
-	// maxQueuedLines is the room for lines that wait: some two seconds of the
-	// busiest owner, 1 MiB at the usual length.
+	// maxQueuedLines is the capacity of the queue: about two seconds of the busiest owner's
+	// lines, or 1 MiB at their usual length.
 	maxQueuedLines = 2048
-	// closeTimeout bounds how long Close waits for the lines that are left.
+	// closeTimeout bounds how long Close waits for the queued lines to be written.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// NewBoundedWriter returns a writer that passes lines on to output.
+// NewBoundedWriter returns a writer that queues lines for output.
 func NewBoundedWriter(output io.Writer) *BoundedWriter {
 	b := &BoundedWriter{Output: output, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run()
@@ -44,9 +43,9 @@
 
 // Write implements io.Writer for whole lines.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case b.lines <- kept:
+	case b.lines <- copied:
 	default:
 		b.Dropped.Add(1)
 	}
@@ -55,34 +54,34 @@
 
 func (b *BoundedWriter) run() {
 	defer close(b.done)
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-b.lines:
-			told = b.write(line, told)
+			reported = b.write(line, reported)
 		case <-b.closing:
 			for range len(b.lines) {
-				told = b.write(<-b.lines, told)
+				reported = b.write(<-b.lines, reported)
 			}
 			return
 		}
 	}
 }
 
-// write writes one line, and how many were dropped since that was told last. It
-// returns how many have been told of.
-func (b *BoundedWriter) write(line []byte, told int64) int64 {
-	// A line that can't be written is lost: there is nowhere to say so.
+// write writes one line and, if the queue is empty, the number of lines dropped since
+// the last report. It returns the number of dropped lines reported so far.
+func (b *BoundedWriter) write(line []byte, reported int64) int64 {
+	// A line that can't be written is lost: there is no other output to report it to.
 	_, _ = b.Output.Write(line)
 	dropped := b.Dropped.Load()
-	if dropped == told || len(b.lines) > 0 {
-		return told
+	if dropped == reported || len(b.lines) > 0 {
+		return reported
 	}
-	fmt.Fprintf(b.Output, "{\"level\":\"warn\",\"message\":\"log lines were dropped\",\"fields\":{\"part\":\"log\",\"dropped\":%d}}\n", dropped-told)
+	fmt.Fprintf(b.Output, "{\"level\":\"warn\",\"message\":\"log lines were dropped\",\"fields\":{\"part\":\"log\",\"dropped\":%d}}\n", dropped-reported)
 	return dropped
 }
 
-// Close writes what is left, for a short while.
+// Close writes the queued lines, for at most closeTimeout.
 func (b *BoundedWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
 	select {
--- a/mflog/bounded_test.go
+++ b/mflog/bounded_test.go
@@ -12,7 +12,7 @@
 	"mothferry/mflog"
 )
 
-// blockedWriter is an output that takes nothing until it is released.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -26,8 +26,8 @@
 	return s.text.Write(p)
 }
 
-// Symptom guarded against: leases lapse because whoever logs waits for a log
-// collector that stands still.
+// TestLogNeverBlocks guards against leases that expire because the goroutines that log
+// wait for a stalled log collector.
 func TestLogNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	b := mflog.NewBoundedWriter(out)
@@ -42,25 +42,25 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("writing waits for the output")
+		t.Fatal("Write waits for the output")
 	}
 	assert.Assert(t, b.Dropped.Load() > 0)
 	close(out.release)
 	for range 100 {
 		out.mutex.Lock()
-		told := strings.Contains(out.text.String(), "log lines were dropped")
+		reported := strings.Contains(out.text.String(), "log lines were dropped")
 		out.mutex.Unlock()
-		if told {
+		if reported {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("dropped lines are not told")
+	t.Fatal("dropped lines are not reported")
 }
 
-// Guarded against: a daemon that stops as planned ends with a panic.
-// Events: the last answers to orders arrive, and are logged, while the log is closed.
-// Cause: closing the queue of lines makes a later write panic.
+// TestWriteAfterCloseDoesNotPanic guards against a panic at the end of a planned stop: the
+// last answers to orders are logged while the log is closed, and a write to a closed queue
+// panics.
 func TestWriteAfterCloseDoesNotPanic(t *testing.T) {
 	b := mflog.NewBoundedWriter(io.Discard)
 	stop := make(chan struct{})
--- a/mflog/failure.go
+++ b/mflog/failure.go
@@ -2,16 +2,16 @@
 
 import "github.com/apex/log"
 
-// FailureLog logs a failure that goes on as one: its first occurrence as a
-// warning, its end as information, and what is between for debugging only. A
-// part that tries again several times a second would otherwise fill the log
-// for as long as the platform is out.
+// FailureLog logs the repeated failures of one operation: the first as a warning, the
+// first success after it as information, and the failures between at debug level. An
+// operation that is retried several times a second would otherwise fill the log while
+// the platform is unavailable.
 type FailureLog struct {
 	Log     *log.Entry
 	failing bool
 }
 
-// Failed notes a failure.
+// Failed logs a failure.
 func (e *FailureLog) Failed(err error, message string) {
 	entry := e.Log.WithError(err)
 	if e.failing {
@@ -22,7 +22,7 @@
 	entry.Warn(message)
 }
 
-// Succeeded notes that what failed works again.
+// Succeeded logs the first success after a failure.
 func (e *FailureLog) Succeeded(message string) {
 	if e.failing {
 		e.failing = false
--- a/mflog/log.go
+++ b/mflog/log.go
@@ -1,5 +1,5 @@
-// Package mflog sets up logs: short sentences with a fixed prefix for each
-// part, as text or JSON, with a level that can be set for each part by name.
+// Package mflog sets up logging as text or JSON, with a logger for each component
+// whose level can be set by the component's name.
 package mflog
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// partField is the field that carries the part's name to the handler.
+// partField is the log field that holds the name of the component.
 const partField = "part"
 
 // Format is the output format of logs.
@@ -25,17 +25,17 @@
 	FormatJSON Format = "json"
 )
 
-// Logs makes loggers for the parts of one process.
+// Logs creates the loggers for the components of one process.
 type Logs struct {
 	Output io.Writer
 	Format Format
 	Level  log.Level
-	// Parts overrides the level for single parts.
+	// Parts overrides the level of single components by name.
 	Parts map[string]log.Level
 	mutex sync.Mutex
 }
 
-// Part returns the logger of the part with this name.
+// Part returns the logger of the component with this name.
 func (l *Logs) Part(name string) *log.Entry {
 	level := l.Level
 	if own, ok := l.Parts[name]; ok {
--- a/mfmetric/metric.go
+++ b/mfmetric/metric.go
@@ -11,7 +11,7 @@
 	"mothferry/mftraffic"
 )
 
-// Metrics are the counters of one daemon. They implement the entry's Observer.
+// Metrics holds the metrics of one daemon. It implements mfentry.Observer.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -19,20 +19,20 @@
 	duration *prometheus.HistogramVec
 }
 
-// Gauges are the values that are read when the metrics are.
+// Gauges holds the sources of values that are read whenever metrics are collected.
 type Gauges struct {
 	Revision func() float64
 	InFlight func() float64
 	Peers    func() float64
 	Holdings func() float64
-	// Cores is what the process used lately.
+	// Cores returns the cores that the process used recently.
 	Cores func() float64
-	// PeerTraffic and PlatformTraffic count bytes on connections.
+	// PeerTraffic and PlatformTraffic count the bytes on connections to peers and platform.
 	PeerTraffic     *mftraffic.Counter
 	PlatformTraffic *mftraffic.Counter
 }
 
-// New returns metrics in a registry of their own.
+// New returns metrics in a new registry.
 func New(g Gauges) *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -72,8 +72,8 @@
 	}
 }
 
-// Ended counts the end of a request. Requests of no known service share the
-// empty name, so that callers cannot grow the metrics without bound.
+// Ended counts the end of a request. Requests of unknown services share the empty
+// name, so that callers cannot increase the number of metrics without bound.
 func (m *Metrics) Ended(service mothferry.ServiceID, end mothferry.End, reason mothferry.Reason, took time.Duration) {
 	m.requests.WithLabelValues(string(service), string(end), string(reason)).Inc()
 	m.duration.WithLabelValues(string(service), string(end)).Observe(took.Seconds())
--- a/mfsetting/reference_test.go
+++ b/mfsetting/reference_test.go
@@ -44,8 +44,8 @@
 		}
 	}
 	for _, f := range fields(reflect.TypeFor[Settings](), "") {
-		assert.Check(t, named[f], "%s is not in the page", f)
+		assert.Check(t, named[f], "%s is not in docs/OPERATIONS.md", f)
 		delete(named, f)
 	}
-	assert.Equal(t, len(named), 0, "the page names unknown settings: %v", named)
+	assert.Equal(t, len(named), 0, "docs/OPERATIONS.md names unknown settings: %v", named)
 }
--- a/mfsetting/setting_test.go
+++ b/mfsetting/setting_test.go
@@ -32,16 +32,16 @@
 	assert.DeepEqual(t, s.EntryHosts(), []mothferry.DaemonID{"entry-1", "entry-2"})
 }
 
-// TestRolesAreSeparate: symptom, a daemon whose entry is switched off holds no
-// shard either. Cause: both defaults were the same variable.
+// TestRolesAreSeparate guards against a daemon without the entry role that holds no
+// shard either, which happens if both defaults are the same variable.
 func TestRolesAreSeparate(t *testing.T) {
 	s, err := Parse("good.yaml", []byte(validSettings+"roles: {entry: false}\n"))
 	assert.NilError(t, err)
 	assert.Assert(t, !s.Roles.Entry && s.Roles.Control)
 }
 
-// TestParseRejects shows that each unknown or impossible field is refused
-// with its file, line and field, and what would be right.
+// TestParseRejects checks that each unknown or invalid field is rejected with its
+// file, line and field, and what is expected.
 func TestParseRejects(t *testing.T) {
 	for _, k := range []struct {
 		name, from, to string
@@ -80,7 +80,7 @@
 	}
 }
 
-// FuzzParse shows that no text makes the parser panic.
+// FuzzParse checks that no input makes the parser panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Add([]byte("a: &x [*x]"))
--- a/mfsnapshot/store.go
+++ b/mfsnapshot/store.go
@@ -1,6 +1,6 @@
-// Package mfsnapshot holds what one daemon has in force: the service
-// documents and the placements of its data centre, as one immutable value
-// that requests read without a lock.
+// Package mfsnapshot holds the state that one daemon has in force: the service
+// documents and the placements of its data centre, as one immutable value that
+// requests read without a lock.
 package mfsnapshot
 
 import (
@@ -13,12 +13,12 @@
 	"mothferry/mfplacement"
 )
 
-// Snapshot is what is in force at one moment. It is never changed.
+// Snapshot is the state in force at one moment. It is immutable.
 type Snapshot struct {
 	Revision   mothferry.Revision
 	Documents  map[mothferry.ServiceID]mfdocument.Record
 	Placements map[mothferry.PoolID]mfplacement.Record
-	// Runners are the runners of this data centre by service, whatever their state.
+	// Runners holds the runners of this data centre by service, whatever their state.
 	Runners map[mothferry.ServiceID][]mfplacement.Runner
 }
 
@@ -28,7 +28,7 @@
 	return r, ok
 }
 
-// Delta carries every document that was accepted after Base, up to Revision.
+// Delta holds every document that was accepted after Base, up to Revision.
 type Delta struct {
 	Base     mothferry.Revision
 	Revision mothferry.Revision
@@ -36,8 +36,8 @@
 }
 
 // Store holds the snapshot in force and replaces it as newer state arrives.
-// State may arrive in any order, repeatedly or with gaps; what is in force
-// never goes back.
+// State may arrive in any order, repeatedly or with gaps; the revision and the
+// generations in force never decrease.
 type Store struct {
 	mutex   sync.Mutex
 	current atomic.Pointer[Snapshot]
@@ -67,10 +67,10 @@
 	return s.changed
 }
 
-// AdoptDelta puts a delta in force. It reports false, and changes nothing,
-// if the delta is not newer than what is in force. A delta whose base is
-// above the revision in force would skip documents and is refused the same
-// way: the caller then asks for the changes since its own revision.
+// AdoptDelta puts a delta in force. It reports false, and changes nothing, if the
+// delta is not newer than the revision in force. A delta whose base is above the
+// revision in force would skip documents and is rejected as well: the caller then
+// requests the changes since its own revision.
 func (s *Store) AdoptDelta(d Delta) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/mfsnapshot/store_test.go
+++ b/mfsnapshot/store_test.go
@@ -15,8 +15,8 @@
 // history is a sequence of accepted changes: change i has revision i+1.
 type history []mothferry.ServiceID
 
-// delta cuts out the changes after base up to revision, as a peer or the
-// table would send them: the last change of each document only.
+// delta returns the changes after base up to revision, as a peer or the table
+// would send them: the last change of each document only.
 func (h history) delta(base, revision mothferry.Revision) Delta {
 	last := map[mothferry.ServiceID]mothferry.Revision{}
 	for i := base; i < revision; i++ {
@@ -30,8 +30,8 @@
 }
 
 // TestRevisionNeverDecreases delivers changes in any order, with losses and
-// repetitions. At each step the revision must not fall, and the documents in
-// force must be exactly those of that revision, none skipped or mixed.
+// repetitions. At each step the revision must not decrease, and the documents in
+// force must be exactly those of that revision.
 func TestRevisionNeverDecreases(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		names := []mothferry.ServiceID{"a", "b", "c"}
@@ -53,7 +53,8 @@
 	})
 }
 
-// TestPlacementGenerationNeverDecreases does the same for placements of several pools.
+// TestPlacementGenerationNeverDecreases does the same for placements of
+// several pools.
 func TestPlacementGenerationNeverDecreases(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		store := NewStore()
--- a/mfyaml/decode.go
+++ b/mfyaml/decode.go
@@ -1,6 +1,6 @@
-// Package mfyaml reads YAML strictly: an unknown field, a repeated field or a
-// value of the wrong type is reported with its file, line and field, and
-// later checks of the same text can name lines too.
+// Package mfyaml decodes YAML strictly: an unknown field, a repeated field or a
+// value of the wrong type is reported with its file, line and field, and later
+// checks of the same input report lines too.
 package mfyaml
 
 import (
@@ -17,7 +17,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Problem is one thing wrong with a text, and what would be right.
+// Problem is one error in an input, with what is expected instead.
 type Problem struct {
 	File  string
 	Line  int
@@ -25,12 +25,12 @@
 	Want  string
 }
 
-// String returns the problem as "file:line: field: what would be right".
+// String returns the problem as "file:line: field: what is expected".
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Want)
 }
 
-// ErrInvalid reports all problems found in one text.
+// ErrInvalid reports all problems found in one input.
 type ErrInvalid struct {
 	Problems []Problem
 }
@@ -44,7 +44,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Validator collects the problems of one text.
+// Validator collects the problems of one input.
 type Validator struct {
 	File     string
 	lines    map[string]int
@@ -54,7 +54,7 @@
 // Decode reads one YAML mapping from data into out, a pointer to a struct.
 // Problems are collected in the returned Text; its Err reports them.
 func Decode(file string, data []byte, out any) *Validator {
-	t := &Validator{File: file, lines: map[string]int{}}
+	v := &Validator{File: file, lines: map[string]int{}}
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var root yaml.Node
 	if err := decoder.Decode(&root); err != nil {
@@ -62,48 +62,48 @@
 		if errors.Is(err, io.EOF) {
 			want = "must not be empty"
 		}
-		t.add(1, "(text)", want)
-		return t
+		v.add(1, "(text)", want)
+		return v
 	}
 	var second yaml.Node
 	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
-		t.add(max(second.Line, 1), "(text)", "must hold one YAML document only")
-		return t
+		v.add(max(second.Line, 1), "(text)", "must hold one YAML document only")
+		return v
 	}
-	t.walk(root.Content[0], reflect.TypeOf(out).Elem(), "")
-	if len(t.problems) > 0 {
-		return t
+	v.walk(root.Content[0], reflect.TypeOf(out).Elem(), "")
+	if len(v.problems) > 0 {
+		return v
 	}
 	if err := root.Decode(out); err != nil {
-		t.add(1, "(text)", err.Error())
+		v.add(1, "(text)", err.Error())
 	}
-	return t
+	return v
 }
 
-// Reject notes a problem with a field, given by its dotted path.
-func (t *Validator) Reject(field, want string, args ...any) {
-	line, ok := t.lines[field]
+// Reject records a problem with a field, given by its dotted path.
+func (v *Validator) Reject(field, want string, args ...any) {
+	line, ok := v.lines[field]
 	for path := field; !ok && strings.Contains(path, "."); {
 		path = path[:strings.LastIndex(path, ".")]
-		line, ok = t.lines[path]
+		line, ok = v.lines[path]
 	}
 	if !ok {
 		line = 1
 	}
-	t.add(line, field, fmt.Sprintf(want, args...))
+	v.add(line, field, fmt.Sprintf(want, args...))
 }
 
 // Err returns nil or an ErrInvalid with every problem, ordered by line.
-func (t *Validator) Err() error {
-	if len(t.problems) == 0 {
+func (v *Validator) Err() error {
+	if len(v.problems) == 0 {
 		return nil
 	}
-	sort.SliceStable(t.problems, func(i, j int) bool { return t.problems[i].Line < t.problems[j].Line })
-	return &ErrInvalid{Problems: t.problems}
+	sort.SliceStable(v.problems, func(i, j int) bool { return v.problems[i].Line < v.problems[j].Line })
+	return &ErrInvalid{Problems: v.problems}
 }
 
-func (t *Validator) add(line int, field, want string) {
-	t.problems = append(t.problems, Problem{File: t.File, Line: line, Field: field, Want: want})
+func (v *Validator) add(line int, field, want string) {
+	v.problems = append(v.problems, Problem{File: v.File, Line: line, Field: field, Want: want})
 }
 
 var (
@@ -111,29 +111,29 @@
 	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// walk compares a node with the type it will be decoded into.
-func (t *Validator) walk(n *yaml.Node, want reflect.Type, path string) {
+// walk checks a node against the type that it will be decoded into.
+func (v *Validator) walk(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind == yaml.AliasNode {
-		t.add(n.Line, path, "must not be an alias")
+		v.add(n.Line, path, "must not be an alias")
 		return
 	}
 	switch {
 	case want.Kind() == reflect.Pointer:
-		t.walk(n, want.Elem(), path)
+		v.walk(n, want.Elem(), path)
 	case want == durationType || reflect.PointerTo(want).Implements(textUnmarshalerType):
-		t.walkScalar(n, want, path)
+		v.walkScalar(n, want, path)
 	case want.Kind() == reflect.Struct:
-		t.walkStruct(n, want, path)
+		v.walkStruct(n, want, path)
 	case want.Kind() == reflect.Map:
-		t.walkMap(n, want, path)
+		v.walkMap(n, want, path)
 	case want.Kind() == reflect.Slice:
-		t.walkList(n, want, path)
+		v.walkList(n, want, path)
 	default:
-		t.walkScalar(n, want, path)
+		v.walkScalar(n, want, path)
 	}
 }
 
-func (t *Validator) walkStruct(n *yaml.Node, want reflect.Type, path string) {
+func (v *Validator) walkStruct(n *yaml.Node, want reflect.Type, path string) {
 	fields := map[string]reflect.Type{}
 	var names []string
 	for i := range want.NumField() {
@@ -142,35 +142,35 @@
 		fields[name] = f.Type
 		names = append(names, name)
 	}
-	t.eachField(n, path, func(key, value *yaml.Node, field string) {
-		kind, ok := fields[key.Value]
+	v.eachField(n, path, func(key, value *yaml.Node, field string) {
+		fieldType, ok := fields[key.Value]
 		if !ok {
-			t.add(key.Line, field, "is not known here; known are "+strings.Join(names, ", "))
+			v.add(key.Line, field, "is not known here; known are "+strings.Join(names, ", "))
 			return
 		}
-		t.walk(value, kind, field)
+		v.walk(value, fieldType, field)
 	})
 }
 
-func (t *Validator) walkMap(n *yaml.Node, want reflect.Type, path string) {
-	t.eachField(n, path, func(_, value *yaml.Node, field string) {
-		t.walk(value, want.Elem(), field)
+func (v *Validator) walkMap(n *yaml.Node, want reflect.Type, path string) {
+	v.eachField(n, path, func(_, value *yaml.Node, field string) {
+		v.walk(value, want.Elem(), field)
 	})
 }
 
 // eachField visits the entries of a mapping and reports repeated ones.
-func (t *Validator) eachField(n *yaml.Node, path string, visit func(key, value *yaml.Node, field string)) {
+func (v *Validator) eachField(n *yaml.Node, path string, visit func(key, value *yaml.Node, field string)) {
 	if n.Kind != yaml.MappingNode {
-		t.add(n.Line, pathOrText(path), "must be a mapping of fields")
+		v.add(n.Line, pathOrText(path), "must be a mapping of fields")
 		return
 	}
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
 		field := join(path, key.Value)
-		t.lines[field] = key.Line
+		v.lines[field] = key.Line
 		if seen[key.Value] {
-			t.add(key.Line, field, "must be given once only")
+			v.add(key.Line, field, "must be given once only")
 			continue
 		}
 		seen[key.Value] = true
@@ -178,21 +178,21 @@
 	}
 }
 
-func (t *Validator) walkList(n *yaml.Node, want reflect.Type, path string) {
+func (v *Validator) walkList(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind != yaml.SequenceNode {
-		t.add(n.Line, path, "must be a list")
+		v.add(n.Line, path, "must be a list")
 		return
 	}
 	for i, c := range n.Content {
 		field := fmt.Sprintf("%s.%d", path, i)
-		t.lines[field] = c.Line
-		t.walk(c, want.Elem(), field)
+		v.lines[field] = c.Line
+		v.walk(c, want.Elem(), field)
 	}
 }
 
-func (t *Validator) walkScalar(n *yaml.Node, want reflect.Type, path string) {
+func (v *Validator) walkScalar(n *yaml.Node, want reflect.Type, path string) {
 	if n.Kind != yaml.ScalarNode {
-		t.add(n.Line, pathOrText(path), "must be a single value")
+		v.add(n.Line, pathOrText(path), "must be a single value")
 		return
 	}
 	value := reflect.New(want)
@@ -200,7 +200,7 @@
 	if err == nil {
 		return
 	}
-	t.add(n.Line, path, fmt.Sprintf("must be %s, not %q", describe(want, err), n.Value))
+	v.add(n.Line, path, fmt.Sprintf("must be %s, not %q", describe(want, err), n.Value))
 }
 
 func describe(want reflect.Type, err error) string {
