--- a/mfaccount/account.go
+++ b/mfaccount/account.go
@@ -1,4 +1,4 @@
-// Package mfaccount knows the client accounts of a config: which account a key belongs
+// Package mfaccount holds the client accounts of a config: which account a key belongs
 // to, and what each account may have running.
 package mfaccount
 
@@ -12,44 +12,44 @@
 // Account is one client account.
 type Account struct {
 	ID mothferry.AccountID
-	// Weight is how many jobs a second the account is owed, and its share where there is
-	// more work than room.
+	// Weight is the account's rate in jobs a second, and its weight in the fair share where
+	// there is more work than capacity.
 	Weight float64
-	// Limit bounds what its tasks may have running over all workers. A resource that is
-	// zero is not bounded.
+	// Limit bounds the resources of the account's running tasks over all workers. A
+	// resource that is zero is not bounded.
 	Limit mothferry.Resources
 }
 
-// Digest stands for a key. Keys themselves are not kept, so that none shows in a log line
-// or a stored row, and looking one up takes the same time whatever it has in common with
-// others.
+// Digest is the digest of a key. Keys themselves are not kept, so that none appears in a log
+// line or a stored row, and the time of a look-up does not depend on what a key has in common
+// with others.
 type Digest [sha256.Size]byte
 
-// Directory holds the accounts of one config. Nil stands for a deployment without
-// accounts. It is not changed once it is in use.
+// Directory holds the accounts of one config. Nil means a deployment without accounts. It is
+// not changed once it is in use.
 type Directory struct {
 	accounts map[mothferry.AccountID]Account
 	byDigest map[Digest]mothferry.AccountID
 }
 
-// NewDirectory returns a directory without accounts, which accepts no key.
+// NewDirectory returns an empty directory, which accepts no key.
 func NewDirectory() *Directory {
 	return &Directory{accounts: map[mothferry.AccountID]Account{}, byDigest: map[Digest]mothferry.AccountID{}}
 }
 
-// Add takes an account and its keys in. A key that is empty, or that an account has which
-// was added before, is left out: it would not tell whose call it is.
+// Add adds an account and its keys. A key that is empty, or that belongs to an account added
+// before, is left out: it would not identify the caller.
 func (d *Directory) Add(a Account, keys ...string) {
 	d.accounts[a.ID] = a
 	for _, key := range keys {
-		sum := DigestOf(key)
-		if _, taken := d.byDigest[sum]; key != "" && !taken {
-			d.byDigest[sum] = a.ID
+		digest := DigestOf(key)
+		if _, taken := d.byDigest[digest]; key != "" && !taken {
+			d.byDigest[digest] = a.ID
 		}
 	}
 }
 
-// Lookup returns the account that a key belongs to, or false if it is none's.
+// Lookup returns the account that a key belongs to, or false if there is none.
 func (d *Directory) Lookup(key string) (mothferry.AccountID, bool) {
 	if d == nil {
 		return "", false
@@ -57,10 +57,11 @@
 	return d.LookupDigest(DigestOf(key))
 }
 
-// DigestOf returns what stands for a key.
+// DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// LookupDigest returns the account that the key of a digest belongs to, or false if it is none's.
+// LookupDigest returns the account that the key with a digest belongs to, or false if there is
+// none.
 func (d *Directory) LookupDigest(key Digest) (mothferry.AccountID, bool) {
 	if d == nil {
 		return "", false
@@ -77,7 +78,7 @@
 	return maps.Clone(d.accounts)
 }
 
-// Keys counts the keys that are accepted.
+// Keys returns the number of keys that are accepted.
 func (d *Directory) Keys() int {
 	if d == nil {
 		return 0
--- a/mfaccount/account_test.go
+++ b/mfaccount/account_test.go
@@ -16,7 +16,7 @@
 	for key, want := range map[string]mothferry.AccountID{"key-1": "a", "key-2": "a", "key-3": "b"} {
 		id, ok := d.Lookup(key)
 		assert.Assert(t, ok, key)
-		assert.Equal(t, id, want, "a key stays with the account that had it first")
+		assert.Equal(t, id, want, "a key belongs to the account that was added first")
 	}
 	for _, key := range []string{"", "key-4", "KEY-1", " key-1"} {
 		_, ok := d.Lookup(key)
@@ -26,7 +26,7 @@
 	assert.Equal(t, d.Keys(), 3)
 }
 
-// Where there are no accounts there is no key that is one's.
+// A deployment without accounts has a nil directory, which accepts no key.
 func TestNoDirectory(t *testing.T) {
 	var d *mfaccount.Directory
 	_, ok := d.Lookup("")
--- a/mfjob/fuzz_test.go
+++ b/mfjob/fuzz_test.go
@@ -6,7 +6,7 @@
 	"mothferry/mfjob"
 )
 
-// Stored rows may be of any program: they are read or refused, never a panic.
+// Any program may have written a stored row: it is decoded or refused without a panic.
 func FuzzDecodeProgress(f *testing.F) {
 	f.Add([]byte(`{"format":1,"state":"running","steps":[[{"tasks":[[0,2,1,"w-1","c"],[1,1,0]]},{"done":true}]]}`))
 	f.Add([]byte(`{"format":1,"steps":[[{"tasks":[null]}]]}`))
--- a/mfjob/job.go
+++ b/mfjob/job.go
@@ -1,5 +1,5 @@
-// Package mfjob holds jobs as records: what a caller handed in, how far the
-// job is, and the form in which both are stored.
+// Package mfjob defines jobs as records: what a caller submitted, the job's
+// progress, and the form in which both are stored.
 package mfjob
 
 import (
@@ -9,7 +9,7 @@
 	"mothferry"
 )
 
-// State is how far a job is, as its caller is told.
+// State is the state of a job as reported to its caller.
 type State string
 
 // States of a job. The last three are final.
@@ -21,47 +21,47 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether a job in this state is over.
+// Final reports whether a job in this state is finished.
 func (s State) Final() bool {
 	return s == StateCompleted || s == StateFailed || s == StateCancelled
 }
 
-// Step is one step of a job: Count tasks alike.
+// Step is one step of a job: Count identical tasks.
 type Step struct {
 	Count int                 `json:"count"`
 	Need  mothferry.Resources `json:"need"`
 	// Estimate is roughly how long a task takes.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists earlier steps that must be done first.
+	// After lists the earlier steps that must be done before this one.
 	After []int `json:"after,omitempty"`
-	// Checkpoint says that tasks save their progress.
+	// Checkpoint is set if the tasks save their progress.
 	Checkpoint bool `json:"checkpoint,omitempty"`
-	// Gang says that the tasks work only all together.
+	// Gang is set if the tasks work only while all of them run.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack says that a gang is slower over several racks.
+	// SameRack is set if a gang is slower when spread over several racks.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Label is one that the worker must have; empty for any worker.
+	// Label is a label that the worker must have; empty for any worker.
 	Label string `json:"label,omitempty"`
-	// Rack is where the data is; tasks are slower elsewhere.
+	// Rack is the rack that holds the tasks' data; tasks are slower elsewhere.
 	Rack mothferry.RackID `json:"rack,omitempty"`
-	// PerWorker bounds the step's tasks on one worker; 0 for no bound.
+	// PerWorker bounds the number of the step's tasks on one worker; 0 for no bound.
 	PerWorker int `json:"per_worker,omitempty"`
-	// Speculative says that copies of a task may run at the same time.
+	// Speculative is set if copies of a task may run at the same time.
 	Speculative bool `json:"speculative,omitempty"`
 	// Lasting tasks run until the job is cancelled and are always restarted.
 	Lasting bool `json:"lasting,omitempty"`
-	// Image names what the tasks run; tasks of one image behave alike.
+	// Image names the program of the tasks; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
-	// TailTarget bounds a serving task's response times at the tail; 0 if it serves nobody.
+	// TailTarget bounds the tail latency of a serving task; 0 if the task does not serve.
 	TailTarget time.Duration `json:"tail_target,omitempty"`
-	// Fills says that the tasks use only processor time that others leave.
+	// Fills is set if the tasks use only processor time that others leave idle.
 	Fills bool `json:"fills,omitempty"`
-	// MayMiss is how many tasks may be away at the same time by our own acts.
+	// MayMiss is how many tasks our orders may make unavailable at the same time; 0 for no bound.
 	MayMiss int `json:"may_miss,omitempty"`
 }
 
-// Reservation is what each task of the step takes of a worker's capacity. Tasks that fill
-// use only processor time that others leave.
+// Reservation returns what each task of the step reserves of a worker's capacity. Tasks that
+// fill reserve no cores, as they use only processor time that others leave idle.
 func (t *Step) Reservation() mothferry.Resources {
 	need := t.Need
 	if t.Fills {
@@ -70,39 +70,39 @@
 	return need
 }
 
-// Submission is a job as it was handed in and accepted.
+// Submission is a job as it was submitted and accepted.
 type Submission struct {
 	Queue mothferry.QueueID `json:"queue"`
-	// Account is the client account that handed it in; empty for none.
+	// Account is the client account that submitted the job; empty for none.
 	Account mothferry.AccountID `json:"account,omitempty"`
-	// Service is the queue's service when the job was accepted.
+	// Service is the service of the queue at the time the job was accepted.
 	Service mothferry.ServiceID `json:"service"`
 	Spec    string              `json:"spec"`
 	Steps   []Step              `json:"steps"`
-	// Repeat is how many times the steps run; 0 for once, at once.
+	// Repeat is how many times the steps run; 0 for once, immediately.
 	Repeat int `json:"repeat,omitempty"`
 	// First is when the first occurrence is due.
 	First time.Time `json:"first,omitzero"`
 	// Interval is the time between occurrences.
 	Interval time.Duration `json:"interval,omitempty"`
-	// Accepted is the time of day at which an entry host accepted the job.
+	// Accepted is the wall-clock time at which an entry host accepted the job.
 	Accepted time.Time `json:"accepted"`
 }
 
 // Occurrences returns how many times the steps run.
 func (s Submission) Occurrences() int { return max(1, s.Repeat) }
 
-// Limits on what may be handed in. A job's progress has to fit into one row
-// of 64 KiB at some 40 bytes a task, which MaxTasks leaves room for.
+// Limits of a submission. A job's progress has to fit into one row of 64 KiB at
+// some 40 bytes a task, which MaxTasks allows.
 const (
 	MaxSpecBytes = 4000
 	MaxSteps     = 64
 	MaxTasks     = 1000
-	// MaxEstimate keeps sums over a job's steps far from what a duration holds.
+	// MaxEstimate keeps sums over a job's steps from overflowing a duration.
 	MaxEstimate = 365 * 24 * time.Hour
 )
 
-// ErrInvalid reports a job that can't be accepted as it is.
+// ErrInvalid reports an invalid submission.
 type ErrInvalid struct {
 	Field  string
 	Detail string
@@ -111,7 +111,7 @@
 // Error implements error.
 func (e *ErrInvalid) Error() string { return fmt.Sprintf("job refused: %s %s", e.Field, e.Detail) }
 
-// Check returns an ErrInvalid for the first thing wrong with a submission.
+// Check returns an ErrInvalid for the first invalid field of a submission.
 func (s Submission) Check() error {
 	switch {
 	case len(s.Spec) > MaxSpecBytes:
@@ -140,9 +140,9 @@
 	field := fmt.Sprintf("step %d", index)
 	switch {
 	case t.Count <= 0 || t.Count > MaxTasks:
-		return &ErrInvalid{field, "has no sound count of tasks"}
+		return &ErrInvalid{field, "has an invalid count of tasks"}
 	case t.Need.Cores < 0 || t.Need.Memory < 0 || t.Need.Accelerators < 0 || t.Estimate < 0:
-		return &ErrInvalid{field, "needs less than nothing"}
+		return &ErrInvalid{field, "has a negative need or estimate"}
 	case t.Estimate > MaxEstimate:
 		return &ErrInvalid{field, "is estimated to take longer than a year"}
 	case t.PerWorker < 0 || t.MayMiss < 0 || t.TailTarget < 0:
@@ -150,7 +150,7 @@
 	}
 	for _, a := range t.After {
 		if a < 0 || a >= index {
-			return &ErrInvalid{field, "follows a step that is not before it"}
+			return &ErrInvalid{field, "depends on a step that is not before it"}
 		}
 	}
 	return nil
@@ -170,19 +170,20 @@
 func (s Submission) Work() float64 {
 	sum := 0.0
 	for i := range s.Steps {
-		of := &s.Steps[i]
-		sum += float64(of.Need.Cores) / 1000 * of.Estimate.Seconds() * float64(of.Count)
+		t := &s.Steps[i]
+		sum += float64(t.Need.Cores) / 1000 * t.Estimate.Seconds() * float64(t.Count)
 	}
 	return sum
 }
 
-// CriticalPath returns the longest chain of estimates through the steps, which is
-// how long the job takes if nothing waits.
+// CriticalPath returns the length of the critical path through the steps by their estimates,
+// which is how long the job takes if nothing waits.
 func (s Submission) CriticalPath() time.Duration {
 	return s.RemainingCriticalPath(func(int) bool { return false })
 }
 
-// CriticalPathAfter returns the longest chain of estimates through the steps that follow a step.
+// CriticalPathAfter returns the length of the critical path through the steps that depend on a
+// step, directly or not.
 func (s Submission) CriticalPathAfter(step int) time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	follows := make([]bool, len(s.Steps))
@@ -202,7 +203,7 @@
 	return longest
 }
 
-// RemainingCriticalPath returns the longest chain of estimates through the steps that are
+// RemainingCriticalPath returns the length of the critical path through the steps that are
 // not done.
 func (s Submission) RemainingCriticalPath(done func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
--- a/mfjob/job_test.go
+++ b/mfjob/job_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// runningProgress is the progress of a job of two steps whose tasks all run.
+// runningProgress returns the progress of a job with two occurrences whose tasks all run.
 func runningProgress() mfjob.Progress {
 	p := mfjob.Progress{State: mfjob.StateRunning}
 	for range 2 {
@@ -47,7 +47,7 @@
 	return p
 }
 
-// Rows of this form are in stores: their text must not change under the same version.
+// Rows of this format are in stores: their text must not change under the same version.
 func TestStoredProgressFormatIsStable(t *testing.T) {
 	p := mfjob.Progress{State: mfjob.StateRunning, Occurrences: [][]mfjob.StepProgress{{
 		{Done: true},
@@ -72,8 +72,8 @@
 	assert.Equal(t, string(mfjob.EncodeProgress(p)), `{"format":1,"state":"completed"}`)
 }
 
-// BenchmarkEncodeProgress: 13.5 µs and 94 allocations when each task was a value of
-// its own to encoding/json.
+// BenchmarkEncodeProgress measures the encoding of progress; with each task as a separate
+// value for encoding/json it took 13.5 µs and 94 allocations.
 func BenchmarkEncodeProgress(b *testing.B) {
 	p := runningProgress()
 	b.ReportAllocs()
@@ -90,11 +90,11 @@
 }
 
 func TestCheckRefusesInvalidSubmissions(t *testing.T) {
-	sound := func() mfjob.Submission {
+	valid := func() mfjob.Submission {
 		return mfjob.Submission{Steps: []mfjob.Step{{Count: 1}, {Count: 2, After: []int{0}}}}
 	}
-	assert.NilError(t, sound().Check())
-	for name, spoil := range map[string]func(*mfjob.Submission){
+	assert.NilError(t, valid().Check())
+	for name, invalidate := range map[string]func(*mfjob.Submission){
 		"no steps":      func(s *mfjob.Submission) { s.Steps = nil },
 		"count of zero": func(s *mfjob.Submission) { s.Steps[0].Count = 0 },
 		"points ahead":  func(s *mfjob.Submission) { s.Steps[0].After = []int{1} },
@@ -103,16 +103,16 @@
 		"long spec":     func(s *mfjob.Submission) { s.Spec = string(make([]byte, mfjob.MaxSpecBytes+1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := sound()
-			spoil(&s)
+			s := valid()
+			invalidate(&s)
 			assert.ErrorType(t, s.Check(), &mfjob.ErrInvalid{})
 		})
 	}
 }
 
-// The account of a job is in all that is stored of it, in a form that programs which do
-// not know of accounts refuse: they would show the job to everybody. A job without one is
-// stored as they know it.
+// A job's account is stored with its submission and progress, in a format that programs
+// without support for accounts refuse: they would show the job to everybody. Jobs without an
+// account keep the format that such programs read.
 func TestAccountIsStored(t *testing.T) {
 	p := mfjob.Progress{State: mfjob.StateCompleted, Account: "a"}
 	data := mfjob.EncodeProgress(p)
@@ -130,7 +130,7 @@
 	}
 }
 
-// The chain after a step counts only the steps that wait for it, at any distance.
+// The critical path after a step includes only steps that depend on it, directly or not.
 func TestCriticalPathAfter(t *testing.T) {
 	s := mfjob.Submission{Steps: []mfjob.Step{
 		{Estimate: time.Second},
--- a/mfjob/objective.go
+++ b/mfjob/objective.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// TooLateFactor times its objective is when a job is of no use any more; between both it
-// is of a little use.
+// TooLateFactor times its objective is when a job is too late, of no use any more; between the
+// two it is late, of a little use.
 const TooLateFactor = 3
 
-// Objective returns how long a job may take to be in time: stretch times its longest
-// chain of work, and latency more.
-func Objective(stretch float64, latency, chain time.Duration) time.Duration {
-	return time.Duration(stretch*float64(chain)) + latency
+// Objective returns how long a job may take to be on time: stretch times its critical path,
+// plus latency.
+func Objective(stretch float64, latency, criticalPath time.Duration) time.Duration {
+	return time.Duration(stretch*float64(criticalPath)) + latency
 }
--- a/mfjob/progress.go
+++ b/mfjob/progress.go
@@ -10,16 +10,17 @@
 	"mothferry"
 )
 
-// Versions of the stored forms. Rows of a newer version are refused, so that an
-// older program never drops what it does not know.
+// Versions of the stored formats. Rows of a newer version are refused, so that an
+// older program never drops fields that it does not know.
 const (
-	// submissionAccountVersion is that of a job of a client account. Without one it is written in
-	// the first version, which older programs read.
+	// submissionAccountVersion is the version for jobs of a client account. Other jobs are
+	// written in the first version, which older programs read.
 	submissionAccountVersion = 2
 	submissionPlainVersion   = 1
-	// progressCopyVersion is that of progress in which a task has a copy, or still runs under a lower
-	// number than its copy had; progressVersion that of a job of a client account, progressCrashVersion
-	// that of progress with crashes. With none it is written in the first version, which older programs read.
+	// progressCopyVersion is the version for progress in which a task has a speculative copy,
+	// or still runs under a lower number than its copy had; progressAccountVersion the one for
+	// jobs of a client account, progressCrashVersion the one for progress with crashes. Other
+	// progress is written in the first version, which older programs read.
 	progressCopyVersion    = 4
 	progressAccountVersion = 3
 	progressCrashVersion   = 2
@@ -35,7 +36,7 @@
 
 // Error implements error.
 func (e *ErrNewerFormat) Error() string {
-	return "stored record has format " + strconv.Itoa(e.Version) + ", this program reads up to " + strconv.Itoa(e.Known)
+	return "decode stored record: format " + strconv.Itoa(e.Version) + " is newer than supported format " + strconv.Itoa(e.Known)
 }
 
 type storedSubmission struct {
@@ -43,7 +44,7 @@
 	Submission
 }
 
-// EncodeSubmission returns the stored form of a submission.
+// EncodeSubmission returns the stored format of a submission.
 func EncodeSubmission(s Submission) ([]byte, error) {
 	stored := storedSubmission{Format: submissionPlainVersion, Submission: s}
 	if s.Account != "" {
@@ -53,7 +54,7 @@
 	return data, trace.Wrap(err)
 }
 
-// DecodeSubmission reads the stored form of a submission.
+// DecodeSubmission decodes the stored format of a submission.
 func DecodeSubmission(data []byte) (Submission, error) {
 	var s storedSubmission
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -65,30 +66,31 @@
 	return s.Submission, nil
 }
 
-// TaskProgress is what must last of one task.
+// TaskProgress is the persistent state of one task.
 type TaskProgress struct {
 	Done bool
 	// Run is the highest number given to a start of the task.
 	Run mothferry.RunNumber
 	// Failures counts the runs that ended failed.
 	Failures int
-	// Worker is the life of a worker that may run it now; empty for none.
+	// Worker is the incarnation of a worker that may run the task now; empty for none.
 	Worker     mothferry.WorkerID
 	Checkpoint mothferry.Checkpoint
 	Crashes    Crashes
 	// Current is the number of the run at Worker, zero if that is Run. Copy is the number of a
-	// second run beside it, and CopyWorker the life that may run it; empty for none.
+	// speculative copy of it, and CopyWorker the incarnation that may run the copy; empty for
+	// none.
 	Current, Copy mothferry.RunNumber
 	CopyWorker    mothferry.WorkerID
 }
 
-// Crashes counts the workers that ended while a run of a task was, or may have been, there.
+// Crashes counts the worker incarnations that ended while they ran, or may have run, a task.
 type Crashes struct {
 	// Known counts those that are known to have crashed, Early those of them that did so
-	// soon after the run began.
+	// soon after the run started.
 	Known, Early int
-	// Unseen counts those that nobody has heard of since, or that were leaving: they may
-	// have crashed.
+	// Unseen counts those that have not been heard from since, or that were draining or being
+	// evacuated: they may have crashed.
 	Unseen int
 }
 
@@ -96,28 +98,29 @@
 
 func (t TaskProgress) hasCopy() bool { return t.CopyWorker != "" || t.Current != 0 }
 
-// StepProgress is what must last of one step.
+// StepProgress is the persistent state of one step.
 type StepProgress struct {
 	Done  bool
 	Tasks []TaskProgress
 }
 
-// Progress is what must last of a job besides its submission.
+// Progress is the persistent state of a job besides its submission.
 type Progress struct {
 	State State
-	// Account is that of the job, by which it is told who may look the job up.
+	// Account is the job's account, which decides who may look the job up.
 	Account mothferry.AccountID
-	// Occurrences holds the steps of each occurrence; empty for a job that is over.
+	// Occurrences holds the steps of each occurrence; empty for a finished job.
 	Occurrences [][]StepProgress
-	// AfterSegment is the number of the newest segment of the shard's log when this was written; zero
-	// for what is in the log itself. Older programs read by it which of the two is newer.
+	// AfterSegment is the number of the newest segment of the shard's log when this was
+	// written; zero for progress in the log itself. Older programs decide by it which of the
+	// two is newer.
 	AfterSegment uint64
 }
 
 type storedProgress struct {
 	Format int   `json:"format"`
 	State  State `json:"state"`
-	// Account is empty for a job of none.
+	// Account is empty for a job without an account.
 	Account mothferry.AccountID `json:"account,omitempty"`
 	Steps   [][]storedStep      `json:"steps,omitempty"`
 	After   uint64              `json:"after,omitempty"`
@@ -128,8 +131,8 @@
 	Tasks []json.RawMessage `json:"tasks,omitempty"`
 }
 
-// EncodeProgress returns the stored form of a job's progress. An owner encodes up to
-// 4,000 a second: each job is stored anew with each of its tasks that starts or ends.
+// EncodeProgress returns the stored format of a job's progress. An owner encodes up to
+// 4,000 a second: a job is stored again whenever one of its tasks starts or ends.
 func EncodeProgress(p Progress) []byte {
 	b := append([]byte(`{"format":`), strconv.Itoa(p.version())...)
 	b = append(b, `,"state":`...)
@@ -149,7 +152,7 @@
 	return append(b, '}')
 }
 
-// version is the first one that holds all that there is.
+// version returns the lowest version that can represent the progress.
 func (p Progress) version() int {
 	if p.anyTask(TaskProgress.hasCopy) {
 		return progressCopyVersion
@@ -163,7 +166,7 @@
 	return progressPlainVersion
 }
 
-// anyTask reports whether what is stored of some task has a property.
+// anyTask reports whether a task whose progress is stored has a property.
 func (p Progress) anyTask(property func(TaskProgress) bool) bool {
 	if p.State.Final() {
 		return false
@@ -215,7 +218,7 @@
 		b = append(b, ',')
 		b = strconv.AppendInt(b, int64(t.Failures), 10)
 	}
-	// Fields at the end are left out as long as all after them are empty.
+	// Empty fields at the end are left out.
 	crashes := t.hasCrashes() || t.hasCopy()
 	checkpoint := t.Checkpoint != "" || crashes
 	if t.Run != 0 && (t.Worker != "" || checkpoint) {
@@ -243,7 +246,7 @@
 	return append(b, ']')
 }
 
-// AppendText appends a JSON string. Ids are plain text, which stands for itself.
+// AppendText appends a JSON string. Ids are plain ASCII, which needs no escapes.
 func AppendText(b []byte, s string) []byte {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' || s[i] == '"' || s[i] == '\\' {
@@ -258,13 +261,13 @@
 func appendEscaped(b []byte, s string) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
-		// A string always has a JSON form; an empty text stands in for the impossible.
+		// Marshalling a string never fails; the empty string keeps the output valid.
 		return append(b, `""`...)
 	}
 	return append(b, text...)
 }
 
-// DecodeProgress reads the stored form of a job's progress.
+// DecodeProgress decodes the stored format of a job's progress.
 func DecodeProgress(data []byte) (Progress, error) {
 	var stored storedProgress
 	if err := json.Unmarshal(data, &stored); err != nil {
