--- a/mfjob/job.go
+++ b/mfjob/job.go
@@ -92,8 +92,8 @@
 // Occurrences returns how many times the steps run.
 func (s Submission) Occurrences() int { return max(1, s.Repeat) }
 
-// Limits of a submission. A job's progress has to fit into one row of 64 KiB at
-// some 40 bytes a task, which MaxTasks allows.
+// Limits of a submission. MaxTasks keeps a job's progress, at some 40 bytes a task, within one
+// row of 64 KiB.
 const (
 	MaxSpecBytes = 4000
 	MaxSteps     = 64
