--- a/mfsched/allocation.go
+++ b/mfsched/allocation.go
@@ -11,7 +11,7 @@
 	"mothferry/mfshare"
 )
 
-// acceptedDecayTime is the decay time of an account's rate of accepted work.
+// acceptedDecayTime is the decay time of a flow's rate of accepted work.
 const acceptedDecayTime = 2 * time.Second
 
 // recentWork is a flow's recently accepted work.
@@ -136,7 +136,7 @@
 }
 
 // NoticeableWaits returns the shortest wait that matters to the callers of each service: half of
-// the smallest latency that its queues' objectives add to a job's own work.
+// the smallest Latency of its queues, the part of an objective that doesn't depend on the job.
 func (s *State) NoticeableWaits() map[mothferry.ServiceID]time.Duration {
 	out := map[mothferry.ServiceID]time.Duration{}
 	for _, q := range s.queues {
--- a/mfsched/copy.go
+++ b/mfsched/copy.go
@@ -104,8 +104,9 @@
 	s.markDirty(t.job)
 }
 
-// recordCheckpoint records the checkpoint that a task's run reported, unless the recorded one is
-// of a replaced run that had done more.
+// recordCheckpoint records the checkpoint that a task's run reported, unless that is empty or the
+// recorded one is of a replaced run that had done more. An unchanged checkpoint keeps its
+// percentage if that is known.
 func (t *task) recordCheckpoint(c mothferry.Checkpoint, percent int) {
 	if c == "" || c == t.checkpoint && t.checkpointPercent > 0 || t.checkpointAhead && percent < t.checkpointPercent {
 		return
--- a/mfsched/order.go
+++ b/mfsched/order.go
@@ -25,7 +25,7 @@
 	classTooLate
 )
 
-// candidate is a job with tasks that could start now.
+// candidate is an occurrence of a job with tasks that could start now.
 type candidate struct {
 	job   *job
 	queue Queue
@@ -65,8 +65,8 @@
 	}
 }
 
-// candidates returns the jobs of each service that could start tasks now, in the order of
-// placement.
+// candidates returns the occurrences of jobs of each service that could start tasks now, in the
+// order of placement.
 func (s *State) candidates(now time.Time) map[mothferry.ServiceID][]candidate {
 	byService := map[mothferry.ServiceID][]candidate{}
 	for _, j := range s.live {
@@ -110,13 +110,13 @@
 
 // urgency orders jobs that can be on time; the lowest goes first. Ordering by slack alone
 // fails under overload: capacity then goes to jobs that all miss their objectives by a little.
-// Jobs that are small or nearly done free capacity soonest. A larger weight gains little and
-// delays wide jobs.
+// Jobs that are small or nearly done free capacity soonest.
 func (c candidate) urgency() float64 {
 	return c.slack.Seconds() + weightRemainingWork*c.remainingWork
 }
 
-// weightRemainingWork is how many seconds of slack a core-second of remaining work is worth.
+// weightRemainingWork is how many seconds of slack a core-second of remaining work is worth. A
+// larger weight gains little and delays large jobs. The agingWork of mfshare is its inverse.
 const weightRemainingWork = 0.04
 
 // remainingWork returns the work of an occurrence that is not done, in core-seconds.
--- a/mfsched/place.go
+++ b/mfsched/place.go
@@ -9,7 +9,9 @@
 	"mothferry"
 )
 
-// place assigns waiting tasks to workers, in the order of candidates.
+// place assigns waiting tasks to workers, in the order of candidates. If capacity is divided
+// among accounts, candidates whose flow is below its fair share go first, then those whose flow
+// has credit: by urgency alone, the accounts that submitted the most would get the capacity.
 func (s *State) place(now time.Time) {
 	s.countOrphaned()
 	byService := s.candidates(now)
@@ -26,7 +28,7 @@
 }
 
 // placeMatching assigns tasks of matching candidates to workers. Each candidate is tried once
-// a round.
+// per call of place, in the first pass that it matches.
 func (s *State) placeMatching(byService map[mothferry.ServiceID][]candidate, usable map[mothferry.ServiceID][]*worker, matches func(*candidate) bool, now time.Time) {
 	for _, service := range slices.Sorted(maps.Keys(byService)) {
 		list, workers := byService[service], usable[service]
@@ -82,7 +84,8 @@
 		}
 		w := s.chooseWorker(c, t, workers, now)
 		if w == nil && t.suspect() {
-			// A suspect task needs a worker of its own; the other tasks of the step do not.
+			// A suspect task may have to wait for its trial; the other tasks of the step need
+			// not wait for that.
 			continue
 		}
 		if w == nil || normalTurnover != nil && w.slowStatus.Degraded() && s.canRunOnNormalWorker(t, workers) && normalTurnover.shouldWait(t, w, now) {
@@ -149,7 +152,8 @@
 	}
 }
 
-// unplan reverts the assignments just made for a step.
+// unplan releases the workers just assigned to a gang's members. The members that had one all
+// keep the highest run number of the gang, and the job stays marked as started.
 func (s *State) unplan(p *step) {
 	for _, t := range p.tasks {
 		if t.phase == phasePlanned {
@@ -176,8 +180,9 @@
 	s.markDirty(t.job)
 }
 
-// chooseWorker returns the feasible worker with the highest score for a task, or nil. For an
-// advised queue without a ticket it asks the adviser.
+// chooseWorker returns the feasible worker with the highest score for a task, or nil. In an
+// advised queue only workers for which the step has a ticket are feasible; if none is, it asks
+// the adviser.
 func (s *State) chooseWorker(c candidate, t *task, workers []*worker, now time.Time) *worker {
 	spec := t.step.spec
 	if t.suspect() {
@@ -239,11 +244,14 @@
 	return count
 }
 
-// Weights for scoring workers; they only rank. Data in the same rack is worth a third of the
-// run time, more than any difference in utilization. A worker on which the task's last run
-// failed is used only if there is no other.
+// Weights for scoring workers; they only rank.
 const (
-	weightRack  = 4.0
+	// weightRack is for a worker in the rack of the task's data. That is worth a third of the
+	// run time, more than any difference in utilization.
+	weightRack = 4.0
+	// weightAvoid is for a worker on which the task's last run failed. It is the largest
+	// weight, but others can add up to more, as weightSpread and weightInterference count per
+	// task.
 	weightAvoid = -16.0
 	// weightUtilization packs tasks on machines that have work already, so that others become
 	// idle and can be moved where they are needed.
@@ -252,17 +260,18 @@
 	// few of them.
 	weightSpread = -2.0
 	// weightMaintenanceDue keeps lasting tasks off workers that a maintenance wave has yet to
-	// evacuate. They would be moved a second time, and as few tasks of a step may be
-	// unavailable at a time, the wave would wait for them. It outweighs any spread over the
-	// machines of a pool, but not a failure on the worker.
+	// evacuate. They would be moved a second time, and the wave would have to wait for them,
+	// since only a few tasks of a step may be unavailable at once. It outweighs a difference of
+	// up to five tasks of the step, but not a failure on the worker.
 	weightMaintenanceDue = -12.0
 	// weightSuspect places a task that may crash its worker where few other tasks would be
 	// lost.
 	weightSuspect = -8.0
-	// weightSlow is the cost of one additional run time on a slow worker, three times that of
-	// remote data, which costs a third of a run time. weightSlowFloor keeps it below the cost
-	// of a failure on the worker. Lasting tasks and gangs are exempt, as the speed of finite
-	// tasks says nothing about theirs.
+	// weightSlow is the cost of a slow worker on which the task takes twice its run time; it
+	// grows with each further run time. It is three times weightRack, as remote data costs a
+	// third of a run time. weightSlowFloor keeps it below the cost of a failure on the worker.
+	// Lasting tasks and gangs are exempt: the speed of tasks that end by themselves says
+	// nothing about theirs.
 	weightSlow      = -3 * weightRack
 	weightSlowFloor = -15.0
 	// weightInterference separates tasks that fill idle processor time from tasks that serve.
--- a/mfshare/admission.go
+++ b/mfshare/admission.go
@@ -32,16 +32,18 @@
 type Decision struct {
 	// Refused is empty if the job is accepted.
 	Refused Reason
-	// Wait is how long the job would wait, Share the cores to which its account is entitled.
+	// Wait is how long the job would wait, Share the cores that its account can have in the
+	// service now (FlowShare.Rate).
 	Wait  time.Duration
 	Share float64
-	// RetryAfter is when the job could be on time if it is submitted again.
+	// RetryAfter is how long the caller should wait before it submits a refused job again, so
+	// that the job can be on time.
 	RetryAfter time.Duration
 }
 
 const (
 	// maxWaitFraction is the fraction of the time between a job's critical path and its
-	// objective that its wait may take. A queue as long as all of that time has each job in it
+	// objective that its wait may take. If waits could take all of that time, every job would
 	// miss its objective by a little.
 	maxWaitFraction = 0.6
 	// rateDecayTime is how long accepted work counts when this host's fraction of its
@@ -57,7 +59,8 @@
 	acceptedRetention = 3 * time.Second
 	// maxRetryHorizon bounds how far ahead the retry times of refused jobs are staggered.
 	maxRetryHorizon = 10 * time.Second
-	// maxFlows bounds the flows that a controller remembers.
+	// maxFlows bounds the flows that a controller remembers. If one more arrives, it forgets
+	// all others.
 	maxFlows = 4096
 )
 
@@ -108,8 +111,9 @@
 	return d
 }
 
-// agingWork is the work in core-seconds by which a waiting job ranks ahead of an equally large
-// one that arrives a second later: placement weighs that much work like a second of slack.
+// agingWork is the work in core-seconds that placement weighs like a second of slack: the
+// inverse of mfsched's weightRemainingWork. Of two jobs that differ only in work and by a
+// second in arrival, the later one goes first only if it is smaller by more than that.
 const agingWork = 25
 
 // maxOvertakingFraction bounds the fraction of a rate that smaller jobs arriving later take:
@@ -117,7 +121,9 @@
 const maxOvertakingFraction = 0.6
 
 // expectedWait returns how long a job of the given work waits. Queued jobs go before it unless
-// they are larger; of those that arrive meanwhile only smaller ones do.
+// they are larger by agingWork; of those that arrive meanwhile, only jobs that are smaller by
+// half of agingWork do. The queued work that goes before it is completed at the rate that the
+// jobs arriving meanwhile leave.
 func (f FlowShare) expectedWait(work float64, wait time.Duration) time.Duration {
 	if f.MeanJobWork <= 0 || f.Rate <= 0 {
 		return wait
@@ -126,8 +132,8 @@
 	return min(maxWait, time.Duration(float64(wait)*f.workFractionBelow(work+agingWork)/rest))
 }
 
-// workFractionBelow returns the fraction of the account's work in jobs below a size. Sizes are
-// assumed to be exponentially distributed about their mean.
+// workFractionBelow returns the fraction of the account's work, not of its jobs, that is in jobs
+// below a size. Sizes are assumed to be exponentially distributed about their mean.
 func (f FlowShare) workFractionBelow(work float64) float64 {
 	size := max(0, work) / f.MeanJobWork
 	return 1 - (1+size)*math.Exp(-size)
@@ -161,8 +167,8 @@
 	return max(minHostFraction, own/f.AcceptedRate)
 }
 
-// retryAfter returns when a refused job could be on time. The times of jobs refused one after
-// another are spaced as the account's share completes their work.
+// retryAfter returns after how long a refused job could be on time. The times of jobs refused
+// one after another are spaced as the account's share completes their work.
 func (h *flowHistory) retryAfter(f FlowShare, minDelay time.Duration, work float64, now time.Time) time.Duration {
 	first := now.Add(minDelay)
 	if h.nextRetry.Before(first) {
--- a/mfshare/allocation.go
+++ b/mfshare/allocation.go
@@ -24,8 +24,8 @@
 }
 
 // queuedWork returns the core-seconds that go before newly arriving work. Work whose
-// dependencies are not done counts for at most as much as the ready work: where nothing is
-// ready there is free capacity for it.
+// dependencies are not done counts too, but at most as much as the ready work: if nothing is
+// ready, there is free capacity for it.
 func (l Load) queuedWork() float64 {
 	return l.Ready.Cores + min(l.Waiting.Cores-l.Ready.Cores, l.Ready.Cores)
 }
@@ -50,8 +50,9 @@
 	Loads    []Load
 }
 
-// drainTime is the time in which waiting work claims to be done: about what callers'
-// objectives leave, so that an account with a backlog gets its share and not more.
+// drainTime is the time in which the cores that a flow claims would complete its waiting work:
+// about the time that callers' objectives leave, so that an account with a backlog gets its
+// share and not more.
 const drainTime = time.Second
 
 // FlowShare is an account's share of a service and the wait of its work.
@@ -60,7 +61,9 @@
 	Wait time.Duration
 	// MeanJobWork is the mean work of its jobs, in core-seconds.
 	MeanJobWork float64
-	// Rate is the minimum of core-seconds of the flow that are done per second.
+	// Rate is the core-seconds of the flow that can be done per second: its share, and the
+	// capacity of the service that the shares leave unused, as far as the account's limit
+	// allows. Several flows may count the same unused capacity.
 	Rate float64
 	// AcceptedRate is the core-seconds of the flow accepted per second, lately.
 	AcceptedRate float64
@@ -187,8 +190,9 @@
 // second.
 const MaxPublished = 256
 
-// surgeFactor is how many times its accepted rate an account may suddenly send. Hosts that
-// know its rate by then bound what they accept until the next allocation.
+// surgeFactor is how many times its accepted rate an account is assumed to send at most before
+// the next allocation. If that exceeds its Rate, its entry is published in advance, so that
+// hosts can already bound what they accept.
 const surgeFactor = 8
 
 // Published returns the entries that matter to callers: those whose wait is at least what
--- a/mfshare/bucket.go
+++ b/mfshare/bucket.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// An account that sends more than its rate while its queue is full would push as many jobs of
-// other accounts past their objectives if jobs were served in order of arrival. Jobs beyond an
-// account's rate therefore wait behind all those within the rate that can be on time; they run
-// where there is free capacity.
+// If jobs were served in order of arrival, each job that an account sends beyond its rate under
+// overload would make a job of another account late. Jobs beyond an account's rate therefore
+// wait behind all jobs within their accounts' rates that can be on time, and run where there is
+// free capacity.
 
 // burstWindow is the time over which an account may save up its unused rate. Jobs arrive at
 // random and in bursts: over a shorter time an account that keeps to its rate would exceed it
--- a/mfspeed/baseline.go
+++ b/mfspeed/baseline.go
@@ -33,8 +33,9 @@
 	minWorkers = 3
 	// minSpread is a lower bound on a class's spread, as readings are rounded and late.
 	minSpread = 0.15
-	// minLogChange is how much a run's log rate must change to show that its worker's speed has
-	// changed: more than the rounding to whole percentages causes.
+	// minLogChange is how much a run's log rate must differ from its earlier one, or from the
+	// median of its job, for the difference to count: about a factor of two, which is more than
+	// the rounding to whole percentages causes.
 	minLogChange = 0.7
 	// madToStdDev converts a median absolute deviation to a standard deviation.
 	madToStdDev = 1.4826
@@ -75,9 +76,10 @@
 // Record records a track's new rate: once for the baseline of its class, and as evidence of its
 // worker's speed.
 //
-// Tasks that take several times as long as others are rare among starting tasks, but frequent
-// among running ones, even more so when few tasks start. Therefore a run's rate is evidence only
-// until the expected duration of its class; later, only a change of its rate is.
+// Tasks that take several times as long as others are rare among those that start, but frequent
+// among those that are running, above all when few start. Therefore a run's rate is evidence only
+// until the expected duration of its class. Later, only a change of the rate is: if it fell, by how
+// much it fell; if it rose, the run is evidence of normal speed.
 func (b *Baselines) Record(r RunInfo, t *Track, now time.Time) {
 	b.recordRun(r, t, now)
 	deviation, spread, known := b.Deviation(r.Class, t.rate)
--- a/mfspeed/evidence.go
+++ b/mfspeed/evidence.go
@@ -19,8 +19,9 @@
 	// upperStdErrors is how many standard errors UpperBound adds. A normal worker that is taken
 	// for slow is of less use to its pool for seconds.
 	upperStdErrors = 2
-	// fastRunDivisor and fastJobDivisor set the fractions that Speed.Fast leaves out at the top: a
-	// fifth of a job's runs and a third of the jobs, of which there are fewer.
+	// fastRunDivisor and fastJobDivisor set the fractions that Speed.Fast leaves out at the top:
+	// the fastest fifth of a job's runs, and the fastest third of the jobs. The fraction of the
+	// jobs is larger because there are fewer jobs than runs.
 	fastRunDivisor, fastJobDivisor = 5, 3
 )
 
