--- a/mfsched/crash.go
+++ b/mfsched/crash.go
@@ -9,16 +9,18 @@
 )
 
 // Crash attribution. A task that crashes every worker it starts on takes a dozen or more other
-// tasks down with it each time, and the worker is lost for seconds. Restarted without any
-// memory of that, it crashes worker after worker, six a second, until its pool serves nobody;
-// the log then shows ends of workers with the same run in `newest` each time. A crashed worker
-// lists no end of the run. Only the end of its incarnation shows the crash, which is counted
-// against all runs there, most of them uninvolved.
+// tasks down with it each time, and the worker is lost for seconds. If its crashes were not
+// counted, it would be restarted at once and crash worker after worker, six a second, until
+// its pool serves nobody. The log shows such a task by ends of workers that name the same run
+// in the field newest each time.
 //
-// The task differs from the uninvolved ones in two ways. It is among the youngest runs of the
-// worker, and it crashes the next worker as well where it is the only candidate: after an
-// early crash each of these runs is tried on a worker that gets nothing else until the run's
-// early-crash window has passed.
+// A crashed worker can't report which run crashed it. The owner only learns that the worker's
+// incarnation has ended, and counts that against all runs on it, most of them uninvolved. The
+// task at fault differs from the others in two ways: its run is among the youngest on the
+// worker, and it crashes the next worker as well. So each task whose run was younger than its
+// early-crash window when the worker ended, perhaps by a crash, is tried next on a worker that
+// gets no further tasks until the window of the new run has passed. A second crash in that
+// time shows that the task is at fault. Members of a gang can't be tried like that.
 
 const (
 	// earlyCrashWindow is the age of a run beyond which a crash of its worker is little
@@ -28,49 +30,54 @@
 	// earlyCrashWindowLasting is the same for a lasting task. Crashes only delay its next
 	// start and don't fail it, so its window is longer and catches slower crashes as well.
 	earlyCrashWindowLasting = 400 * time.Millisecond
-	// earlyCrashLimit is how many early crashes fail a task. The second one happens while the
-	// task is tried alone.
+	// earlyCrashLimit is how many early crashes fail a task: crashes of its worker within the
+	// early-crash window of its run. The second one usually happens while the task is on
+	// trial, except for members of a gang.
 	earlyCrashLimit = 2
-	// earlyCrashLimitLasting is how many early crashes and unresolved ends delay the next
-	// start of a lasting task by lastingRestartDelay. The task is not failed, as that would
-	// end the others of its step, which are serving. Crashes that are not early are no
-	// evidence, as the task is there whenever its worker crashes for another reason. The delay
-	// is shorter than its users tolerate, in case the task can run.
+	// earlyCrashLimitLasting is how many early and possible crashes (Crashes.Early and Unseen)
+	// delay the next start of a lasting task by lastingRestartDelay. The task is not failed,
+	// as that would end the others of its step, which are serving. Known crashes that are not
+	// early don't count: the task is there whenever its worker crashes for another reason. The
+	// delay is shorter than those who use the task tolerate, as it may not be at fault.
 	earlyCrashLimitLasting = 3
 	lastingRestartDelay    = 4 * time.Second
-	// possibleCrashLimit is how many ends of workers fail a task, however late they are, if
-	// minKnownCrashes of them are known crashes and the others unresolved: fewer than three
-	// starts may follow the third crash, and one crash may still be unseen.
+	// possibleCrashLimit is how many known and possible crashes fail a task, however old its
+	// runs were, if at least minKnownCrashes of them are known. A task must be started fewer
+	// than three times after its third crash, and one crash may not be known yet.
 	possibleCrashLimit = 4
 	minKnownCrashes    = 2
-	// unresolvedEndLimit is how many ends of workers fail a task even if none is a known crash:
-	// a run that crashes its worker at once is never reported to have started. From
-	// minUnresolvedEnds on, failed runs of the task count as well, as each brings one more
-	// start.
+	// unresolvedEndLimit is how many known and possible crashes fail a task even if none is
+	// known: a run that crashes its worker at once is never reported to have started. From
+	// minUnresolvedEnds of them on, failed runs of the task are added, as each causes one more
+	// start of a task that must be started fewer than three times after its third crash.
 	unresolvedEndLimit = 5
 	minUnresolvedEnds  = 3
-	// defaultEstimate is the assumed duration of a task without an estimate.
+	// defaultEstimate is the assumed duration of a task without an estimate when wasRunningAt
+	// decides whether its run may have ended before its worker.
 	defaultEstimate = 200 * time.Millisecond
-	// crashResetAfter is how long a lasting task must have run and be serving before earlier
-	// crashes are forgotten: over its lifetime it sees many workers end.
+	// crashResetAfter is how long ago the run of a lasting task that is serving now must have
+	// been confirmed for earlier crashes to be forgotten: over its lifetime the task sees many
+	// workers end.
 	crashResetAfter = 2 * time.Second
 	// endCauseTimeout is how long the machine list may take to show why an incarnation ended:
 	// it is read every 0.15 s, except during outages.
 	endCauseTimeout = 30 * time.Second
 	// endCauseWait is the restart delay of a task that was started just before its worker
 	// ended for a cause not known yet. The machine list is read four times in it. Restarted at
-	// once, such a task had crashed five workers by the time the first crash was reported.
+	// once, a task can crash five workers before the first crash is known.
 	endCauseWait = 600 * time.Millisecond
-	// trialPollWait is how long a poll of a worker with a trial waits for an end.
+	// trialPollWait is how long a poll of a worker on trial waits for an end. Only an answer
+	// shows that the worker is alive after the early-crash window, and until then it gets no
+	// other task.
 	trialPollWait = earlyCrashWindow
 	// maxTrialShare is the largest fraction of a service's usable workers that may run trials at
-	// the same time; one always may.
+	// the same time; one always may. A worker on trial gets no other task and may crash.
 	maxTrialShare = 1.0 / 3
-	// maxTrialLoad is the largest fraction of a service's cores in use at which the likeliest
-	// cause of a crash, the run that was ordered last before it, is tried without further
-	// delay. The trial may crash another worker, which a busy service can't spare.
-	// maxTrialDelay is the longest delay at any load, maxTrialDelayModerate the longest while
-	// at most moderateLoad of the cores is in use.
+	// The likeliest cause of a crash is the run whose start was sent last before it. A trial of
+	// its task may crash another worker, which a busy service can't spare. So after a first
+	// early crash the trial waits until at most maxTrialLoad of the service's cores is
+	// reserved, but at most for maxTrialDelay, and at most for maxTrialDelayModerate after the
+	// crash or after the load was last seen above moderateLoad. Lasting tasks don't wait.
 	maxTrialLoad          = 0.2
 	moderateLoad          = 0.5
 	maxTrialDelay         = 10 * time.Second
@@ -80,8 +87,8 @@
 // unresolvedRun is a run that ended with its worker, which may have crashed.
 type unresolvedRun struct {
 	task *task
-	// confirmed says that the run is known to have been there when the worker ended, early
-	// that its known age was also within the early-crash window.
+	// confirmed says that the run counts as having been there when the worker ended, by
+	// wasRunningAt, early that its known age was also within the early-crash window.
 	confirmed, early bool
 }
 
@@ -171,7 +178,7 @@
 }
 
 // resolve updates the crash counts of a run's task once the cause of its worker's end is
-// known.
+// known. A run that may not have been there when the worker crashed stays counted as unseen.
 func (r unresolvedRun) resolve(cause IncarnationEndCause) {
 	r.task.suspectedCrashAt = time.Time{}
 	c := &r.task.crashes
@@ -190,6 +197,7 @@
 }
 
 // expireUnresolved drops ends whose cause the machine list has not shown for endCauseTimeout.
+// They stay counted as possible crashes, but their tasks are no longer suspected for them.
 func (s *State) expireUnresolved(now time.Time) {
 	for id, e := range s.unresolvedEnds {
 		if now.Sub(e.at) <= endCauseTimeout {
@@ -215,9 +223,11 @@
 	w.expiredRuns = nil
 }
 
-// wasRunningAt reports whether a run had started and can't have ended before its worker, which
-// was last alive at lastAlive. A run may have done its work, and its worker crashed for
-// another reason before that was reported.
+// wasRunningAt reports whether a run had started and was most likely still there when its
+// worker ended, which was last alive at lastAlive: less than half of the run's estimated
+// remaining time had passed since it was last seen. A run may have done its work, and its
+// worker crashed for another reason before that was reported. A lasting task counts as there
+// once its run is confirmed.
 func (t *task) wasRunningAt(lastAlive time.Time) bool {
 	switch {
 	case t.confirmedAt.IsZero():
@@ -267,7 +277,7 @@
 	}
 }
 
-// suspect reports whether a task has to be tried on a worker that gets nothing else
+// suspect reports whether a task has to be tried on a worker that gets no further tasks
 // meanwhile. The members of a gang run together or not at all and can't be tried alone.
 func (t *task) suspect() bool {
 	if t.step.spec.Gang {
--- a/mfsched/report.go
+++ b/mfsched/report.go
@@ -174,8 +174,8 @@
 			s.logInheritedMissing(w, t)
 			s.requeue(t, now)
 		case !t.stopAnsweredAt.IsZero() && t.stopAnsweredAt.Before(polledAt):
-			// The stop was carried out before the poll, so that a start still in flight is
-			// refused for its run.
+			// The stop was carried out before the poll, and since then the worker refuses a
+			// start of the stopped run that is still in flight.
 			s.requeue(t, now)
 		default:
 			s.resendStop(t, now)
@@ -207,7 +207,9 @@
 	s.markDirty(t.job)
 }
 
-// runEnded handles an end that a worker lists for the first time.
+// runEnded handles an end that a worker lists for the first time. Any run that has done its
+// work completes its task, unless the task is lasting. Another end requeues the task if it is
+// that of the current run.
 func (s *State) runEnded(w *worker, e mothferry.EndedTask, now time.Time) {
 	t := s.lookUpAt(e.Task, w.at.Worker)
 	if t == nil {
@@ -236,7 +238,7 @@
 }
 
 // taskDone handles the completion of a task by any of its runs. One completed member completes
-// its whole gang.
+// its whole gang; runs of the others that are still reported are then stopped as orphans.
 func (s *State) taskDone(t *task, w *worker, now time.Time) {
 	switch {
 	case t.step.spec.Gang:
@@ -365,8 +367,9 @@
 	}
 	if e.Result == ResultDone && !s.sentBeforeRestart(e.Worker, e.Sent) {
 		if t.stopAnsweredAt.IsZero() {
-			// Only the first answer counts: from then on the worker refuses that run. Later
-			// answers would always be newer than the open poll.
+			// Only the first answer counts: from then on the worker refuses that run. If the
+			// answers to repeated stops counted too, the last one could be newer than each
+			// answered poll, and runMissing would never requeue the task.
 			t.stopAnsweredAt = now
 		}
 		if t.phase == phaseUnresolved {
--- a/mfsched/worker.go
+++ b/mfsched/worker.go
@@ -24,7 +24,8 @@
 	// fenced says that it has answered a poll of this epoch: from then on it refuses orders of
 	// previous owners.
 	fenced bool
-	// unresponsive says that the last poll had no answer, unresponsiveSince since when.
+	// unresponsive says that a poll sent after the newest answered one has failed; the next
+	// answer clears it. unresponsiveSince is when it was set.
 	unresponsive      bool
 	unresponsiveSince time.Time
 	tasks             map[mothferry.TaskName]*task
@@ -35,14 +36,16 @@
 	clockReadAt time.Time
 	// lastAnswer is what the last answer shows about the time before it.
 	lastAnswer pollAnswer
-	// leaseUntil is the latest lease end that was ever requested.
+	// leaseUntil is the latest lease end that this owner requested or, once the worker has
+	// answered, that a previous owner may have requested.
 	leaseUntil mothferry.WorkerClock
 	// priorLeaseEnd is the time before which the lease of an incarnation found at takeover
 	// can't count as expired.
 	priorLeaseEnd time.Time
 
-	// openPolls holds the polls without an answer in the order in which they were sent;
-	// pollSent is when the last one was.
+	// openPolls holds the polls without an answer in the order in which they were sent.
+	// pollSent is when the last poll was sent, answered or not; those of pollNoWait don't
+	// count.
 	openPolls []openPoll
 	pollSent  time.Time
 	nextPoll  time.Time
@@ -61,7 +64,9 @@
 
 	pausedUntil time.Time
 	health      health
-	calmSince   time.Time
+	// calmSince is when a serving task was last near its latency target or the pace of the
+	// tasks that fill was last raised, whichever is later.
+	calmSince time.Time
 	// speed and slowStatus are what is known of how fast it is, hangs how many of its tasks
 	// hung recently, hungJobs when a task of each job last did.
 	speed      mfspeed.EndedRuns
@@ -104,7 +109,7 @@
 }
 
 // reserved returns the resources that tasks and orphaned runs use. Without the latter, a
-// worker that does not refuse what does not fit would get more than its capacity.
+// worker that accepts more than fits would get more than its capacity.
 func (w *worker) reserved() mothferry.Resources {
 	sum := w.used
 	for _, r := range w.orphans {
@@ -173,8 +178,10 @@
 	}
 }
 
-// workerEnded requeues all tasks of an incarnation that has ended, as shown by an answer
-// requested at requestedAt.
+// workerEnded requeues all tasks of an incarnation that has ended. The list or answer that
+// shows the end was requested at requestedAt: if that was before a restart of the worker was
+// detected, or within restartGuard after it, the end is that of the previous incarnation and
+// is ignored.
 func (s *State) workerEnded(id mothferry.WorkerID, cause IncarnationEndCause, requestedAt, now time.Time) {
 	w, ok := s.workers[id]
 	if !ok {
@@ -210,15 +217,15 @@
 
 // leaseEnd returns the lease end to request now, by the worker's clock, or zero if leases may
 // not be extended. An owner that can't store anything any more must let leases expire: a new
-// owner that can't reach the worker relies on it. Nor is the lease of a worker extended that
-// did not answer the last poll: the next one may arrive all the same, and the lease would
-// never be known to have expired.
+// owner that can't reach the worker relies on it. Nor is the lease of an unresponsive worker
+// extended: a poll may reach the worker though its answer is lost, so with each request the
+// lease would have to count as extended and would never be known to have expired.
 func (s *State) leaseEnd(w *worker, now time.Time) mothferry.WorkerClock {
 	if w.clockReadAt.IsZero() || w.unresponsive || elapsed(s.lastCommit, now) >= s.Limits.RenewLeasesFor {
 		return 0
 	}
-	// The worker's clock may be fast as well as slow; the worker shortens leases that are too
-	// long.
+	// The drift of the worker's clock, which may be fast as well as slow, is not corrected
+	// for: the worker shortens a lease that is too long.
 	end := w.clock + mothferry.WorkerClock(now.Sub(w.clockReadAt)+s.Limits.LeaseDuration)
 	w.leaseUntil = max(w.leaseUntil, end)
 	return end
@@ -240,8 +247,10 @@
 	hasClock bool
 	// covered is the part of that time for which the worker is known to have worked.
 	covered time.Duration
-	// delayed says that the worker did not answer, or much later than the poll was to wait;
-	// pollLate that the poll came late, so that ends had waited for it.
+	// delayed says that the worker's clock had advanced by more than the wait of the poll and
+	// pollAnswerMargin, because the worker was unresponsive or its answer took longer than
+	// that. pollLate says that the answer before this one took longer to arrive, by more than
+	// minPollInterval: this poll was sent late, and ends had waited for it.
 	delayed, pollLate bool
 }
 
