--- a/mfchange/change_test.go
+++ b/mfchange/change_test.go
@@ -41,9 +41,9 @@
 	assert.Equal(t, delta.Revision, mothferry.Revision(1))
 }
 
-// TestSameDocumentAgain: a document that says nothing new is accepted without
+// TestUnchangedDocumentGetsNoRevision: a document that says nothing new is accepted without
 // a new revision, whatever revision it was edited from.
-func TestSameDocumentAgain(t *testing.T) {
+func TestUnchangedDocumentGetsNoRevision(t *testing.T) {
 	table := mffake.NewTable(mfclock.System{})
 	accepter := &Accepter{Table: table, Clock: mfclock.System{}}
 	for i := range 3 {
@@ -109,7 +109,7 @@
 func TestRevisionsAreDense(t *testing.T) {
 	mffake.Check(t, func(t *rapid.T) {
 		table := mffake.NewTable(mfclock.System{})
-		accepter := &Accepter{Table: table, Clock: mffake.Instant{}}
+		accepter := &Accepter{Table: table, Clock: mffake.InstantClock{}}
 		latest := map[mothferry.ServiceID]mothferry.Revision{}
 		var highest mothferry.Revision
 		for i := range rapid.IntRange(1, 15).Draw(t, "changes") {
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestReadAllAdoptsNothingInPart: a row that cannot be read, or that is newer
+// TestReadAllIsAllOrNothing: a row that cannot be read, or that is newer
 // than the revision it was read with, fails the whole.
-func TestReadAllAdoptsNothingInPart(t *testing.T) {
+func TestReadAllIsAllOrNothing(t *testing.T) {
 	for _, value := range []string{"{", `{"revision": 0}`, `{"revision": 9, "document": {"service": "s"}}`} {
 		table := mffake.NewTable(mfclock.System{})
 		_, err := table.Commit(t.Context(), mothferry.Txn{Writes: []mothferry.Write{
--- a/mfowner/finished_test.go
+++ b/mfowner/finished_test.go
@@ -13,7 +13,8 @@
 	"mothferry/mfstandin"
 )
 
-// A job that is over must not run again when the inbox is read anew after its rows could not be deleted.
+// A finished job must not run again if its rows could not be deleted and the inbox is read
+// again.
 func TestFinishedJobDoesNotRunAgain(t *testing.T) {
 	rows := &mfstandin.Rows{}
 	workers := &loadWorkers{workers: map[mothferry.WorkerID]*loadWorker{}, taskDuration: 20 * time.Millisecond}
@@ -21,10 +22,10 @@
 	o.Workers, o.Listing, o.Machines = workers, loadListing(2), loadMachines(2)
 	o.Limits.FinishedJobRetention = 8 * time.Second
 	rows.SetBefore(func(txn mothferry.Txn) mfstandin.CommitFault {
-		if txn.Across {
+		if txn.SpansParts {
 			return mfstandin.CommitDeclined
 		}
-		return mfstandin.CommitWell
+		return mfstandin.CommitOK
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -39,7 +40,7 @@
 	waitFor(t, "the job's task is done", func() bool { return ended() == 1 })
 	time.Sleep(o.Limits.FinishedJobRetention + time.Second)
 	rows.SetBefore(nil)
-	rows.Forget()
+	rows.DropHistory()
 	submit(t, rows, "next", mfjob.Step{Count: 1, Need: mothferry.Resources{Cores: 1000, Memory: mothferry.Gibibyte}})
 	waitFor(t, "the next job's task is done", func() bool { return ended() >= 2 })
 	time.Sleep(time.Second)
