--- a/mfdemo/demo.go
+++ b/mfdemo/demo.go
@@ -13,30 +13,29 @@
 	"mothferry/mfexample"
 )
 
-// Bounds of the demo's waits.
 const (
 	startTimeout   = 5 * time.Second
 	inForceTimeout = 4 * time.Second
 	servingTimeout = 8 * time.Second
 )
 
-// Demo runs a deployment and prints what it saw.
+// Demo runs a deployment and prints the results of its checks.
 type Demo struct {
 	Clock  mothferry.Clock
 	Random mothferry.Random
 	Out    io.Writer
-	// Serve leaves the deployment running until the context ends.
+	// Serve keeps the deployment running until the context ends.
 	Serve bool
 }
 
-// checkResult is one line of the demo's verdict.
+// checkResult is the result of one check.
 type checkResult struct {
 	name   string
 	detail string
 	passed bool
 }
 
-// Run runs the demo. It returns an error unless all of it held.
+// Run runs the demo. It returns an error unless all checks pass.
 func (d *Demo) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -64,14 +63,14 @@
 	d.print(ctx, deployment, traffic, findings)
 	for _, f := range findings {
 		if !f.passed {
-			return trace.Errorf("%s did not hold: %s", f.name, f.detail)
+			return trace.Errorf("check failed: %s: %s", f.name, f.detail)
 		}
 	}
 	return nil
 }
 
-// prepare applies the example documents and waits until they are in force
-// everywhere and every runner serves.
+// prepare applies the example documents and waits until they are in force everywhere and every
+// runner serves.
 func (d *Demo) prepare(ctx context.Context, k *deployment) ([]checkResult, error) {
 	err := k.waitUntil(ctx, startTimeout, "every daemon answers", func(ctx context.Context) bool {
 		for _, n := range k.nodes {
@@ -88,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	began := d.Clock.Now()
+	start := d.Clock.Now()
 	var revision mothferry.Revision
 	for i, document := range documents {
 		client := k.nodes[i%len(k.nodes)].operator
@@ -100,17 +99,17 @@
 	if err := k.waitUntil(ctx, inForceTimeout, "documents are in force everywhere", k.inForce(revision)); err != nil {
 		return nil, err
 	}
-	inForce := d.Clock.Now().Sub(began)
+	inForce := d.Clock.Now().Sub(start)
 	if err := k.waitUntil(ctx, servingTimeout, "every runner serves", k.serving); err != nil {
 		return nil, err
 	}
 	return []checkResult{
 		{"documents in force everywhere", fmt.Sprintf("%d documents at %d daemons, %d ms", len(documents), len(k.nodes), inForce.Milliseconds()), true},
-		{"every runner placed and serving", fmt.Sprintf("%d ms after the first document", d.Clock.Now().Sub(began).Milliseconds()), true},
+		{"every runner placed and serving", fmt.Sprintf("%d ms after the first document", d.Clock.Now().Sub(start).Milliseconds()), true},
 	}, nil
 }
 
-// inForce returns the question whether a revision is in force at every daemon.
+// inForce returns a function that reports whether a revision is in force at every daemon.
 func (k *deployment) inForce(revision mothferry.Revision) func(context.Context) bool {
 	return func(ctx context.Context) bool {
 		for _, n := range k.nodes {
@@ -123,7 +122,7 @@
 	}
 }
 
-// serving asks whether every daemon sees every wanted runner of its data centre serve.
+// serving reports whether every daemon sees all wanted runners of its data centre serve.
 func (k *deployment) serving(ctx context.Context) bool {
 	for _, n := range k.nodes {
 		s, err := n.operator.Status(ctx)
--- a/mfdemo/demo_test.go
+++ b/mfdemo/demo_test.go
@@ -10,7 +10,7 @@
 	"mothferry/mfclock"
 )
 
-// TestDemo runs the demo as a newcomer would, and holds it to its own verdict.
+// TestDemo checks that all checks of the demo pass.
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
 	demo := &Demo{Clock: mfclock.System{}, Random: mfclock.SystemRandom{}, Out: &out}
--- a/mfdemo/deployment.go
+++ b/mfdemo/deployment.go
@@ -1,5 +1,5 @@
-// Package mfdemo runs a whole deployment on loopback in one process, against
-// the stand-ins, and checks that it holds what mothferry promises.
+// Package mfdemo runs a whole deployment on loopback in one process, against in-memory
+// stand-ins of the platform, and checks mothferry's guarantees.
 package mfdemo
 
 import (
@@ -23,7 +23,6 @@
 	"mothferry/mfstandin"
 )
 
-// Size of the demo's deployment.
 const (
 	dataCentres          = 3
 	daemonsPerDataCentre = 2
@@ -39,10 +38,10 @@
 	operator *mfoperate.Client
 }
 
-// callersURL returns the address that callers use.
+// callersURL returns the URL for callers.
 func (n *node) callersURL() string { return "http://" + n.settings.Listen.Callers }
 
-// deployment is the stand-in of the platform and the daemons.
+// deployment is a stand-in of the platform with the daemons.
 type deployment struct {
 	clock    mothferry.Clock
 	random   mothferry.Random
@@ -78,7 +77,7 @@
 	return mothferry.DataCentre(fmt.Sprintf("dc%d", i+1))
 }
 
-// addNodes opens every listener first: each daemon's settings name all addresses.
+// addNodes opens all listeners first, since each daemon's settings name the addresses of all.
 func (d *deployment) addNodes() error {
 	for i := range dataCentres * daemonsPerDataCentre {
 		s := mfsetting.Default()
@@ -136,13 +135,13 @@
 // wait returns when everything has stopped.
 func (d *deployment) wait() { d.group.Wait() }
 
-// waitUntil asks again and again until done reports true, for at most bound.
-func (d *deployment) waitUntil(ctx context.Context, bound time.Duration, what string, done func(ctx context.Context) bool) error {
+// waitUntil polls done until it returns true, for at most bound.
+func (d *deployment) waitUntil(ctx context.Context, bound time.Duration, condition string, done func(ctx context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	for !done(ctx) {
 		if !mfclock.Sleep(ctx, d.clock, 20*time.Millisecond) {
-			return trace.LimitExceeded("after %s still not so: %s", bound, what)
+			return trace.LimitExceeded("%s: not within %s", condition, bound)
 		}
 	}
 	return nil
--- a/mfdemo/jobs.go
+++ b/mfdemo/jobs.go
@@ -21,7 +21,6 @@
 	"mothferry/mfstandin"
 )
 
-// Size of the demo's jobs.
 const (
 	demoJobs     = 20
 	demoTaskTime = 30 * time.Millisecond
@@ -30,15 +29,15 @@
 	jobService   = mothferry.ServiceID("lacquer")
 )
 
-// jobHost is one daemon that takes jobs.
+// jobHost is one daemon that accepts jobs.
 type jobHost struct {
 	intake *mfintake.Intake
 	stop   context.CancelFunc
 	done   chan error
 }
 
-// runJobs hands jobs in at two daemons over a store and a worker that are stand-ins,
-// stops the one that owns them halfway, and waits until all are completed.
+// runJobs submits jobs at two daemons that share an in-memory store and worker, stops the
+// owner of the jobs halfway, and waits until all jobs are completed.
 func (d *Demo) runJobs(ctx context.Context) ([]checkResult, error) {
 	rows := &mfstandin.Rows{}
 	worker := &mfstandin.TaskWorker{Service: jobService, TaskTime: demoTaskTime, Cores: 64_000, Clock: d.Clock}
@@ -51,10 +50,10 @@
 		defer h.stop()
 		hosts = append(hosts, h)
 	}
-	began := d.Clock.Now()
+	start := d.Clock.Now()
 	for i := range demoJobs {
-		// The first host owns the jobs, as it was there first; after it is told to
-		// stop the second takes over.
+		// The first host owns the jobs, since it started first; once it is stopped, the second
+		// takes over.
 		host := hosts[1]
 		if i < demoJobs/2 && i%2 == 0 {
 			host = hosts[0]
@@ -71,7 +70,7 @@
 			return nil, err
 		}
 	}
-	took := d.Clock.Now().Sub(began)
+	took := d.Clock.Now().Sub(start)
 	if err := <-hosts[0].done; err != nil {
 		return nil, err
 	}
@@ -84,7 +83,7 @@
 
 func jobName(i int) mothferry.JobID { return mothferry.JobID(fmt.Sprintf("%016x", i+1)) }
 
-// startJobHost starts a daemon and waits until it takes jobs.
+// startJobHost starts a daemon and waits until it accepts jobs.
 func (d *Demo) startJobHost(ctx context.Context, name mothferry.DaemonID, rows *mfstandin.Rows, worker *mfstandin.TaskWorker) (jobHost, error) {
 	config := &mfqueue.Config{Version: 1, Queues: []mfqueue.Queue{{
 		ID: jobQueue, Service: jobService, MaxAttempts: 2, Stretch: 2, Latency: time.Second,
@@ -143,11 +142,11 @@
 	return l.Addr().String(), nil
 }
 
-// waitUntil waits until f holds.
-func (d *Demo) waitUntil(ctx context.Context, what string, f func() bool) error {
+// waitUntil polls f until it returns true.
+func (d *Demo) waitUntil(ctx context.Context, condition string, f func() bool) error {
 	for end := d.Clock.Now().Add(jobsTimeout); !f(); {
 		if d.Clock.Now().After(end) {
-			return trace.Errorf("%s: not within %v", what, jobsTimeout)
+			return trace.Errorf("%s: not within %v", condition, jobsTimeout)
 		}
 		select {
 		case <-ctx.Done():
@@ -158,7 +157,7 @@
 	return nil
 }
 
-// submit hands a job of two steps in until it is accepted.
+// submit submits a job of two steps and retries until it is accepted.
 func (d *Demo) submit(ctx context.Context, intake *mfintake.Intake, id mothferry.JobID) error {
 	step := mfjob.Step{Count: 4, Need: mothferry.Resources{Cores: 500, Memory: 64 * mothferry.Mebibyte}, Estimate: demoTaskTime}
 	last := step
--- a/mfdemo/traffic.go
+++ b/mfdemo/traffic.go
@@ -16,7 +16,6 @@
 	"mothferry/mfstandin"
 )
 
-// Size of the demo's traffic.
 const (
 	customers           = 6
 	requestsPerCustomer = 20
@@ -55,7 +54,7 @@
 	return t
 }
 
-// reply is what the demo reads of a runner's answer.
+// reply is the part of a runner's answer that the demo checks.
 type reply struct {
 	Request  mothferry.RequestID  `json:"request"`
 	Customer mothferry.CustomerID `json:"customer"`
@@ -63,8 +62,8 @@
 	BodyHash string               `json:"body_hash"`
 }
 
-// run sends the traffic, kills a runner under it, and checks every promise
-// that the demo can see.
+// run sends the traffic, kills a runner meanwhile, and checks every guarantee that is visible
+// to callers.
 func (t *traffic) run(ctx context.Context) []checkResult {
 	var group sync.WaitGroup
 	for c := range customers {
@@ -72,7 +71,7 @@
 			group.Go(func() { t.sendAll(ctx, service, c, i) })
 		}
 	}
-	victim := t.killRunner()
+	killed := t.killRunner()
 	group.Wait()
 	replayed := t.repeatKeyed(ctx)
 	t.client.CloseIdleConnections()
@@ -80,7 +79,7 @@
 	twice, falseNotRun := t.countViolations(runs)
 	return []checkResult{
 		{"each answer whole and the caller's own", fmt.Sprintf("%d wrong of %d", len(t.mismatches), t.sent()), len(t.mismatches) == 0},
-		{"posted requests run at most once", fmt.Sprintf("%d ran twice, with runner %s killed meanwhile", twice, victim), twice == 0},
+		{"posted requests run at most once", fmt.Sprintf("%d ran twice, with runner %s killed meanwhile", twice, killed), twice == 0},
 		{"\"not run\" is true", fmt.Sprintf("%d ran in spite of it", falseNotRun), falseNotRun == 0},
 		{"a repeated key gets the recorded answer", fmt.Sprintf("%d of %d repeats, each at another data centre", replayed, len(t.services)), replayed == len(t.services)},
 	}
@@ -106,7 +105,7 @@
 	}
 }
 
-// send posts one request and notes its end.
+// send posts one request and records its end.
 func (t *traffic) send(ctx context.Context, n *node, service mothferry.ServiceID, customer mothferry.CustomerID, id mothferry.RequestID, key string) *http.Response {
 	body := "body of " + string(id)
 	url := fmt.Sprintf("%s/%s/orders?work=5ms&size=%d", n.callersURL(), service, len(id)*100)
@@ -132,11 +131,11 @@
 		return response
 	}
 	end := mothferry.End(response.Header.Get(mothferry.HeaderEnd))
-	wrong := ""
+	mismatch := ""
 	if end == mothferry.EndAnswered {
-		wrong = compareReply(data, reply{Request: id, Customer: customer, Service: service, BodyHash: hash(body)})
+		mismatch = compareReply(data, reply{Request: id, Customer: customer, Service: service, BodyHash: hash(body)})
 	}
-	t.record(service, end, id, wrong)
+	t.record(service, end, id, mismatch)
 	return response
 }
 
@@ -145,7 +144,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// compareReply says what is wrong with an answer; nothing if it is empty.
+// compareReply returns how an answer differs from the expected one, or an empty string.
 func compareReply(data []byte, want reply) string {
 	var got reply
 	if err := json.Unmarshal(data, &got); err != nil {
@@ -157,15 +156,15 @@
 	return ""
 }
 
-func (t *traffic) record(service mothferry.ServiceID, end mothferry.End, id mothferry.RequestID, wrong string) {
+func (t *traffic) record(service mothferry.ServiceID, end mothferry.End, id mothferry.RequestID, mismatch string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.ends[service][end]++
 	if end == mothferry.EndNotRun {
 		t.notRun[id] = true
 	}
-	if wrong != "" {
-		t.mismatches = append(t.mismatches, wrong)
+	if mismatch != "" {
+		t.mismatches = append(t.mismatches, mismatch)
 	}
 }
 
@@ -175,17 +174,16 @@
 		<-t.deployment.clock.After(time.Millisecond)
 	}
 	runners := t.deployment.standin.Workers.Runners()
-	victim, err := t.deployment.standin.Workers.Runner(runners[0].Runner)
+	runner, err := t.deployment.standin.Workers.Runner(runners[0].Runner)
 	if err != nil {
 		return ""
 	}
-	victim.SetFaults(mfstandin.RunnerFaults{Dead: true})
+	runner.SetFaults(mfstandin.RunnerFaults{Dead: true})
 	return runners[0].Runner
 }
 
-// repeatKeyed posts one keyed request to each service and repeats it at an
-// entry host of another data centre. It returns how many repeats were
-// answered from the ledger.
+// repeatKeyed posts one keyed request to each service and repeats it at an entry host of
+// another data centre. It returns the number of repeats that were answered from the ledger.
 func (t *traffic) repeatKeyed(ctx context.Context) int {
 	replayed := 0
 	for i, service := range t.services {
@@ -205,7 +203,8 @@
 	return replayed
 }
 
-// countViolations compares what callers were told with what the runners' journal shows.
+// countViolations counts the requests that ran twice, and those that ran although the caller
+// was told otherwise, by the runners' journal.
 func (t *traffic) countViolations(runs []mfstandin.Run) (twice, falseNotRun int) {
 	count := map[mothferry.RequestID]int{}
 	for _, r := range runs {
--- a/mfemulate/account.go
+++ b/mfemulate/account.go
@@ -9,22 +9,22 @@
 	"mothferry/mfsched"
 )
 
-// limitOverage is by how much an account may be over its limit, beyond one task.
+// limitOverage is the fraction by which an account may exceed its limit, beyond one task.
 const limitOverage = 0.1
 
-// Times of a change of the config: until the owner adopts it at the latest, and until it is
-// in force, with what was decided just before.
+// A config change reaches the owner within maxConfigAdoptDelay. After configInForceDelay it is
+// in force, and so is every decision made just before it.
 const (
 	maxConfigAdoptDelay = 800 * time.Millisecond
 	configInForceDelay  = time.Second
 )
 
-// SetAccounts changes the client accounts. Until the change is surely in force the higher
-// limit of both counts.
+// SetAccounts changes the client accounts. Until the change is confirmed to be in force, the
+// higher of the old and the new limit counts.
 func (w *World) SetAccounts(accounts map[mothferry.AccountID]mfsched.Account) {
-	former := maps.Clone(w.limits)
+	previous := maps.Clone(w.limits)
 	for id, a := range accounts {
-		w.limits[id] = higherLimits(former[id], a.Limit)
+		w.limits[id] = higherLimits(previous[id], a.Limit)
 	}
 	w.Accounts = accounts
 	w.accountChanges++
@@ -46,7 +46,7 @@
 	})
 }
 
-// higherLimits returns the larger of two limits; zero is none.
+// higherLimits returns the higher of two limits for each resource; zero means no limit.
 func higherLimits(a, b mothferry.Resources) mothferry.Resources {
 	return mothferry.Resources{
 		Cores: higherLimit(a.Cores, b.Cores), Memory: higherLimit(a.Memory, b.Memory), Accelerators: higherLimit(a.Accelerators, b.Accelerators),
@@ -60,28 +60,29 @@
 	return max(a, b)
 }
 
-// checkAccount watches that a start does not bring its account over its limit by more
-// than the overage and one task. No owner can keep a worker from carrying out late what was ordered
-// before a limit was lowered: the limit of that moment counts for it.
+// checkAccount reports a start that brings its account over its limit by more than
+// limitOverage and one task. A worker may execute an order late, after the limit was lowered,
+// and no owner can prevent that: such an order is checked against the limits of the moment it
+// was sent.
 func (w *World) checkAccount(c *jobRecord, step *mfjob.Step) {
 	id := c.submission.Account
 	if id == "" {
 		return
 	}
-	held, most := w.resourcesInUse(id), w.limits[id]
+	used, limit := w.resourcesInUse(id), w.limits[id]
 	if w.lateOrder {
-		most = higherLimits(most, w.lateOrderLimits[id])
+		limit = higherLimits(limit, w.lateOrderLimits[id])
 	}
-	over := exceedsLimit(float64(held.Cores), float64(most.Cores)) || exceedsLimit(float64(held.Memory), float64(most.Memory)) ||
-		exceedsLimit(float64(held.Accelerators), float64(most.Accelerators))
-	if over {
-		w.violation("account %s has %+v running, it may have %+v, and one more task of %+v starts", id, held, most, step.Need)
+	exceeded := exceedsLimit(float64(used.Cores), float64(limit.Cores)) || exceedsLimit(float64(used.Memory), float64(limit.Memory)) ||
+		exceedsLimit(float64(used.Accelerators), float64(limit.Accelerators))
+	if exceeded {
+		w.violation("account %s uses %+v of its limit %+v, and another task of %+v starts", id, used, limit, step.Need)
 	}
 }
 
-func exceedsLimit(held, most float64) bool { return most > 0 && held > most*(1+limitOverage) }
+func exceedsLimit(used, limit float64) bool { return limit > 0 && used > limit*(1+limitOverage) }
 
-// resourcesInUse is what runs of an account.
+// resourcesInUse returns the resources of an account's running tasks.
 func (w *World) resourcesInUse(id mothferry.AccountID) mothferry.Resources {
 	sum := mothferry.Resources{}
 	for _, k := range w.workers {
--- a/mfemulate/account_test.go
+++ b/mfemulate/account_test.go
@@ -13,7 +13,7 @@
 	"mothferry/mfsched"
 )
 
-// drawAccounts draws limits of some accounts; a few have none.
+// drawAccounts draws accounts with random limits; some have none.
 func drawAccounts(r *rand.Rand) map[mothferry.AccountID]mfsched.Account {
 	out := map[mothferry.AccountID]mfsched.Account{}
 	for _, id := range []mothferry.AccountID{"x", "y", "z"} {
@@ -33,11 +33,10 @@
 	return map[mothferry.AccountID]mfsched.Account{"x": {Weight: 1}, "y": {Weight: 1}, "z": {Weight: 1}}
 }
 
-// Accounts had more running than they may: their limits were not read, and what a job's
-// account had running was not counted. On the shifted work's day at 100 and 300 hosts 6
-// and 37 starts were beyond a limit. Histories of faults, with accounts whose limits are
-// raised and lowered far below what runs while owners change, orders are lost and carried
-// out late: no start brings an account over its limit, and what is over is not ended for it.
+// Tasks must not start beyond their account's limit. That happens if limits are ignored or the
+// account's running tasks are not counted: on a load of 300 hosts 37 starts exceeded a limit.
+// Limits are raised, and lowered far below current use, while owners change and orders are
+// lost or executed late. A lowered limit ends no running task.
 func TestHistoriesWithAccounts(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,11 +44,11 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		w := accountHistory(seed, r)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end")
+		assert.Equal(t, w.Unfinished(), 0, "unfinished jobs")
 	})
 }
 
-// accountHistory plays a history in which jobs belong to accounts.
+// accountHistory runs a fault history whose jobs belong to accounts.
 func accountHistory(seed uint64, r *rand.Rand) *mfemulate.World {
 	return newHistory(seed, historyOptions{accounts: true, jobs: defaultJobs, addFaults: func(*mfemulate.Faults) {}, prepare: func(w *mfemulate.World) {
 		w.Accounts = drawAccounts(r)
@@ -58,7 +57,7 @@
 			next := drawAccounts(r)
 			w.At(at, func() { w.SetAccounts(next) })
 		}
-		// What the limits hold back has to come to an end once they are gone.
+		// Jobs delayed by the limits have to finish once the limits are removed.
 		w.At(28*time.Second, func() { w.SetAccounts(unlimitedAccounts()) })
 	}})
 }
--- a/mfemulate/admission_test.go
+++ b/mfemulate/admission_test.go
@@ -16,17 +16,17 @@
 	"mothferry/mfsched"
 )
 
-// accountResults is what callers of several accounts asked for and got.
+// accountResults are the job counts of the account "hot" and, in sum, of all others.
 type accountResults struct {
 	others, hot mfemulate.AccountStats
 }
 
-// uselessFraction is the part of the accepted jobs that were of no use.
-func (s accountResults) uselessFraction() float64 {
+// tooLateOrFailedFraction returns the fraction of the accepted jobs that failed or finished too late.
+func (s accountResults) tooLateOrFailedFraction() float64 {
 	return float64(s.others.TooLateOrFailed+s.hot.TooLateOrFailed) / float64(s.others.Accepted+s.hot.Accepted)
 }
 
-// onTimeFraction is the part of the others' jobs that were in time.
+// onTimeFraction returns the fraction of the others' jobs that finished on time.
 func (s accountResults) onTimeFraction() float64 {
 	return float64(s.others.OnTime) / float64(s.others.Jobs)
 }
@@ -43,11 +43,11 @@
 		assert.Equal(t, f.Violations, 0)
 		s.add(asked)
 	}
-	t.Logf("without %v: in time %.3f of the others' jobs, of no use %.3f of what was accepted; others %+v, hot %+v", off, s.onTimeFraction(), s.uselessFraction(), s.others, s.hot)
+	t.Logf("without %v: on time %.3f of the others' jobs, failed or too late %.3f of the accepted jobs; others %+v, hot %+v", off, s.onTimeFraction(), s.tooLateOrFailedFraction(), s.others, s.hot)
 	return s
 }
 
-// add adds what was asked in one play.
+// add adds the counts of one play.
 func (s *accountResults) add(asked map[mothferry.AccountID]mfemulate.AccountStats) {
 	for _, id := range slices.Sorted(maps.Keys(asked)) {
 		to, a := &s.others, asked[id]
@@ -60,28 +60,30 @@
 	}
 }
 
-// Guarded against: beside an account far beyond its share others are refused or late, and what is taken in is of no use.
+// While one account submits far more than its share, the other accounts' jobs must not be
+// refused or late, and accepted jobs must not finish too late.
 func TestBurstOfOneAccountLeavesOthersOnTime(t *testing.T) {
 	t.Parallel()
 	s := playHotAccount(t, func(*mfemulate.Load) {}, nil)
 	assert.Assert(t, s.onTimeFraction() >= 0.7, "%.3f", s.onTimeFraction())
-	assert.Assert(t, s.uselessFraction() <= 0.04, "%.3f", s.uselessFraction())
+	assert.Assert(t, s.tooLateOrFailedFraction() <= 0.04, "%.3f", s.tooLateOrFailedFraction())
 	without := playHotAccount(t, func(*mfemulate.Load) {}, mothferry.FeaturesOff{mothferry.FeatureShares: true})
-	assert.Assert(t, without.uselessFraction() > 0.3, "the load does not show the failure")
+	assert.Assert(t, without.tooLateOrFailedFraction() > 0.3, "the load does not show the failure")
 }
 
-// Guarded against: an account that keeps to its usual is served worse because another sends far more.
+// An account within its share must not be served worse because another account submits far
+// more.
 func TestAccountsWithinTheirSharesAreServed(t *testing.T) {
 	t.Parallel()
-	usual := func(load *mfemulate.Load) { load.Surge = mfemulate.LoadSurge{} }
-	s := playHotAccount(t, usual, nil)
+	normal := func(load *mfemulate.Load) { load.Surge = mfemulate.LoadSurge{} }
+	s := playHotAccount(t, normal, nil)
 	assert.Assert(t, s.onTimeFraction() >= 0.9, "%.3f", s.onTimeFraction())
-	without := playHotAccount(t, usual, mothferry.FeaturesOff{mothferry.FeatureShares: true})
+	without := playHotAccount(t, normal, mothferry.FeaturesOff{mothferry.FeatureShares: true})
 	assert.Assert(t, without.onTimeFraction() < 0.9, "the load does not show the failure")
 }
 
-// playOverload plays two accounts of one pool that is asked for twice what it can do, with a
-// change of the world meanwhile, and returns what came of it.
+// playOverload plays two accounts of one pool whose load is twice its capacity and returns
+// their job counts. during schedules further events.
 func playOverload(t *testing.T, seed uint64, during func(w *mfemulate.World)) map[mothferry.AccountID]mfemulate.AccountStats {
 	t.Helper()
 	w := &mfemulate.World{
@@ -113,25 +115,28 @@
 	return asked
 }
 
-// checkServed asserts that the steady account was served and the eager one's line stayed short.
-func checkServed(t *testing.T, asked map[mothferry.AccountID]mfemulate.AccountStats, inTime, useless float64) {
+// checkServed asserts that the steady account was served and that few accepted jobs of the
+// eager account finished too late.
+func checkServed(t *testing.T, asked map[mothferry.AccountID]mfemulate.AccountStats, onTime, maxTooLateOrFailed float64) {
 	t.Helper()
 	steady, eager := asked["steady"], asked["eager"]
-	assert.Assert(t, float64(steady.OnTime) >= inTime*float64(steady.Jobs), "%+v", steady)
-	assert.Assert(t, float64(eager.TooLateOrFailed) <= useless*float64(eager.Accepted), "%+v", eager)
+	assert.Assert(t, float64(steady.OnTime) >= onTime*float64(steady.Jobs), "%+v", steady)
+	assert.Assert(t, float64(eager.TooLateOrFailed) <= maxTooLateOrFailed*float64(eager.Accepted), "%+v", eager)
 }
 
-// Guarded against: under lasting pressure what is taken in is of no use, or callers are refused beside free workers.
+// Under sustained overload, accepted jobs must not finish too late, and jobs must not be
+// refused while workers are free.
 func TestSustainedOverload(t *testing.T) {
 	t.Parallel()
 	asked := playOverload(t, 1, func(*mfemulate.World) {})
 	checkServed(t, asked, 0.9, 0.15)
-	refused, beside := asked["eager"].Refusals+asked["steady"].Refusals, asked["eager"].RefusedWithCapacity+asked["steady"].RefusedWithCapacity
+	refused, whileFree := asked["eager"].Refusals+asked["steady"].Refusals, asked["eager"].RefusedWithCapacity+asked["steady"].RefusedWithCapacity
 	assert.Assert(t, refused > 50)
-	assert.Assert(t, float64(beside) <= 0.05*float64(refused), "%d of %d", beside, refused)
+	assert.Assert(t, float64(whileFree) <= 0.05*float64(refused), "%d of %d", whileFree, refused)
 }
 
-// Guarded against: a new owner tells shares before it has read all jobs, or takes an account's line for empty.
+// A new owner must not publish allocations before it has loaded all jobs, and must not take an
+// account's backlog for empty.
 func TestTakeoverWhileAccountIsOverItsShare(t *testing.T) {
 	t.Parallel()
 	checkServed(t, playOverload(t, 2, func(w *mfemulate.World) {
@@ -139,7 +144,7 @@
 	}), 0.8, 0.2)
 }
 
-// Guarded against: a host that hears nothing of the owner refuses by an old word for good.
+// A host that cannot read the owner's head must not refuse jobs forever by an old allocation.
 func TestHostWithStaleHeadAcceptsJobs(t *testing.T) {
 	t.Parallel()
 	asked := playOverload(t, 3, func(w *mfemulate.World) {
@@ -148,7 +153,8 @@
 	checkServed(t, asked, 0.8, 0.35)
 }
 
-// Guarded against: a host that has just started counts for all of an account's work, or for none.
+// A host that has just restarted must count neither all of an account's jobs as its own nor
+// none.
 func TestHostRestartsWhileAccountIsOverItsShare(t *testing.T) {
 	t.Parallel()
 	checkServed(t, playOverload(t, 4, func(w *mfemulate.World) {
@@ -158,7 +164,8 @@
 	}), 0.9, 0.15)
 }
 
-// Guarded against: while words come late, each host takes in without bound what it counts itself.
+// While hosts read the owner's head late, each must bound how many jobs it accepts by its own
+// count.
 func TestHeadsReadLate(t *testing.T) {
 	t.Parallel()
 	checkServed(t, playOverload(t, 5, func(w *mfemulate.World) {
@@ -170,7 +177,8 @@
 	}), 0.85, 0.15)
 }
 
-// Guarded against: shares follow a change of the weights late or not at all, an account starves, or workers idle beside work.
+// Fair shares must follow a change of the weights soon, no account may starve, and workers
+// must not idle while work is queued.
 func TestSharesConverge(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
@@ -211,9 +219,9 @@
 			weight += a.Weight
 		}
 		for id, a := range w.Accounts {
-			got, due := sums[id]/total, a.Weight/weight
-			t.Logf("seed %d: %s has %.2f, due %.2f; idle %.2f", seed, id, got, due, idle/samples)
-			assert.Assert(t, got > 0.75*due && got < 1.35*due, "%s has %.2f, due %.2f", id, got, due)
+			got, fairShare := sums[id]/total, a.Weight/weight
+			t.Logf("seed %d: %s has %.2f, fair share %.2f; idle %.2f", seed, id, got, fairShare, idle/samples)
+			assert.Assert(t, got > 0.75*fairShare && got < 1.35*fairShare, "%s has %.2f, fair share %.2f", id, got, fairShare)
 		}
 		assert.Assert(t, idle/samples < 0.15, "%.2f idle", idle/samples)
 	}
--- a/mfemulate/bench_test.go
+++ b/mfemulate/bench_test.go
@@ -9,8 +9,8 @@
 	"mothferry/mfexample"
 )
 
-// BenchmarkPlay plays the turns on seven times the machines and jobs: what the
-// decisions cost in processor time.
+// BenchmarkPlay measures the processor time of the decisions on seven times the machines and
+// jobs of the load turns.yaml.
 func BenchmarkPlay(b *testing.B) {
 	load, err := mfemulate.DecodeLoad("turns.yaml", mfexample.Turns)
 	assert.NilError(b, err)
--- a/mfemulate/crash.go
+++ b/mfemulate/crash.go
@@ -6,37 +6,37 @@
 	"mothferry"
 )
 
-// Bounds on tasks that end the workers that start them.
+// Limits that the checker enforces on tasks that crash every worker that starts them.
 const (
-	// crashBudget workers may crash under such a task; after that it may be started
-	// fewer than repeatBound times.
+	// A task may crash crashBudget workers. After that it must be started fewer than
+	// restartLimit times.
 	crashBudget  = 3
 	restartLimit = 3
-	// lastingRestartDelay is how long after one start of a lasting task that ends its workers the
-	// next one may come, once crashBudget of them have crashed: it can't be given up, as the
-	// others of its step are at work.
+	// lastingRestartDelay is the minimum interval between starts of a lasting task that has
+	// crashed crashBudget workers. Such a task is not failed, since the others of its step
+	// serve.
 	lastingRestartDelay = 3 * time.Second
-	// minCrashes is how many workers must have crashed under a task for its job to be
-	// shown as failed for that.
+	// minCrashes is how many workers must have crashed under a task before its job may be
+	// failed for that.
 	minCrashes = 2
 )
 
-// scheduleCrash ends the worker of a task that does that, a while after its start.
+// scheduleCrash crashes the worker of a job's crashing task, CrashAfter its start.
 func (w *World) scheduleCrash(o *worker, name mothferry.TaskName) {
 	c := w.jobs[name.Job]
 	if c.crashingTask == nil || *c.crashingTask != name {
 		return
 	}
-	lasts := c.submission.Steps[name.Step].Lasting
-	if lasts && !w.lateOrder {
+	lasting := c.submission.Steps[name.Step].Lasting
+	if lasting && !w.lateOrder {
 		if c.crashes[name] >= crashBudget && w.now.Sub(c.crashingTaskStartedAt) < lastingRestartDelay {
-			w.violation("lasting task %v is started %v after the last time, %d workers had crashed under it", name, w.now.Sub(c.crashingTaskStartedAt), c.crashes[name])
+			w.violation("lasting task %v is started again after %v, although it has crashed %d workers", name, w.now.Sub(c.crashingTaskStartedAt), c.crashes[name])
 		}
 		c.crashingTaskStartedAt = w.now
 	}
-	if c.crashes[name] >= crashBudget && !lasts {
+	if c.crashes[name] >= crashBudget && !lasting {
 		if c.crashRestarts++; c.crashRestarts == restartLimit {
-			w.violation("task %v is started %d times after %d workers had crashed under it", name, restartLimit, crashBudget)
+			w.violation("task %v is started %d times after it has crashed %d workers", name, restartLimit, crashBudget)
 		}
 	}
 	w.after(w.Faults.CrashAfter, func() {
@@ -47,11 +47,11 @@
 	})
 }
 
-// checkFailed watches that a job is shown as failed only for a cause: runs of a task that
-// ended failed, or workers that crashed under it.
+// checkFailed reports a job that is stored as failed without a cause: failed runs of a task,
+// or workers that crashed under it.
 func (w *World) checkFailed(c *jobRecord) {
 	if c.submission.Lasts() {
-		w.violation("lasting job %s is shown as failed", c.id)
+		w.violation("lasting job %s is stored as failed", c.id)
 	}
 	if c.crashingTask == nil {
 		w.Stats.UnrelatedFailures++
@@ -67,5 +67,5 @@
 			return
 		}
 	}
-	w.violation("job %s is shown as failed without a cause: runs failed %v, workers crashed %v", c.id, c.failures, c.crashes)
+	w.violation("job %s is stored as failed without a cause: failed runs %v, worker crashes %v", c.id, c.failures, c.crashes)
 }
--- a/mfemulate/crash_test.go
+++ b/mfemulate/crash_test.go
@@ -12,13 +12,13 @@
 	"mothferry/mfexample"
 )
 
-// The load at its worst, while one job in forty has a task that ends its workers. On the
-// code that repeated such tasks without end, three seeds broke the bound on repeats 15, 17
-// and 20 times, some 940 workers crashed in 40 s, and 0.16, 0.23 and 0.15 of the worth was in
-// time, of 0.93, 0.94 and 0.79 without such tasks.
+// One job in forty has a task that crashes every worker that starts it, on the load of demand
+// peaks. With unlimited restarts about 940 workers crash in 40 s, and the weighted on-time
+// fraction is 0.15 to 0.23, compared with 0.79 to 0.94 without such tasks.
 //
-// The aim: fewer crashes than the three after which repeats are bounded, hardly a job
-// failed by bad luck, and four fifths of what is in time without such tasks.
+// Crashes must stay below the three per such job after which restarts are limited, at most 1%
+// of the jobs may fail without such a task, and four fifths of what is on time without such
+// tasks must stay on time.
 func TestCrashingTasksLeaveOtherJobsOnTime(t *testing.T) {
 	t.Parallel()
 	load, err := mfemulate.DecodeLoad("crashing.yaml", mfexample.Crashing)
@@ -28,7 +28,7 @@
 	for seed := range uint64(3) {
 		f := mfemulate.Play(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
 		without := mfemulate.Play(calm, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
-		t.Logf("seed %d: worth in time %.3f, without such tasks %.3f; %d of %d jobs crash, %d workers ended, %d blameless jobs failed",
+		t.Logf("seed %d: weighted on-time fraction %.3f, without crashing tasks %.3f; %d of %d jobs with a crashing task, %d crashes, %d unrelated failures",
 			seed+1, f.WeightedOnTime, without.WeightedOnTime, f.CrashingJobs, f.Jobs, f.Crashes, f.UnrelatedFailures)
 		assert.Equal(t, f.Violations, 0)
 		assert.Assert(t, f.Crashes < 3*f.CrashingJobs)
@@ -37,7 +37,8 @@
 	}
 }
 
-// The same load and its rules alone, which hold whatever is served.
+// The limits on crashes and on unrelated failures must hold on this load, whatever fraction is
+// on time.
 func TestCrashingTaskRestartsAreBounded(t *testing.T) {
 	t.Parallel()
 	load, err := mfemulate.DecodeLoad("crashing.yaml", mfexample.Crashing)
@@ -50,17 +51,17 @@
 	}
 }
 
-// Histories as in TestHistories, with tasks that end their workers, up to 0.3 s after their
-// start. Whatever else comes, each of them is started fewer than three times after three
-// workers have crashed under it, and no job is shown as failed whose tasks had fewer than two.
-// A lasting job is never shown as failed: its task is started once in three seconds then.
+// Fault histories as in TestHistories, with tasks that crash their workers up to 0.3 s after
+// their start. Each such task is started fewer than three times after three workers have
+// crashed under it, and no job is failed for fewer than two crashes. A lasting job is never
+// failed: its task is started at most once in three seconds then.
 func TestHistoriesWithCrashingTasks(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := crashHistory(seed)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
+		assert.Equal(t, w.Unfinished(), 0, "unfinished jobs: %v", w.DescribeUnfinished())
 	})
 }
 
--- a/mfemulate/degraded.go
+++ b/mfemulate/degraded.go
@@ -9,28 +9,29 @@
 	"mothferry/mfjob"
 )
 
-// EstimateErrors say how far off estimates are. The zero value has them off by a fifth at most.
+// EstimateErrors are the errors of tasks' estimates. With the zero value each run's time is
+// within a fifth of its estimate.
 type EstimateErrors struct {
-	// QueueError is by how much at most, as a logarithm, all estimates of a queue are off together.
+	// QueueError is the maximum common error of all estimates of a queue, as a logarithm.
 	QueueError float64 `yaml:"off"`
 	// TaskSpread is the spread of each task's time, as a logarithm.
 	TaskSpread float64 `yaml:"spread"`
-	// TailFraction is the part of the tasks that take TailTimes as long.
+	// TailFraction is the fraction of the tasks that take TailFactor times as long.
 	TailFraction float64 `yaml:"tail"`
 	TailFactor   float64 `yaml:"tail_times"`
 }
 
-// drawDuration draws how long a run takes on a usual worker: its estimate, a fifth off either
-// way. What estimates are off by is drawn once for each task.
+// drawDuration draws the time of a run on a worker of normal speed, within a fifth of its
+// estimate. If estimates have errors, the time was drawn once for each task.
 func (w *World) drawDuration(name mothferry.TaskName, step *mfjob.Step) time.Duration {
-	takes := float64(step.Estimate) * (0.8 + 0.4*w.Random.Float64())
-	if of := w.jobs[name.Job].taskDurations; of != nil && !step.Lasting {
-		return of[name]
+	duration := float64(step.Estimate) * (0.8 + 0.4*w.Random.Float64())
+	if drawn := w.jobs[name.Job].taskDurations; drawn != nil && !step.Lasting {
+		return drawn[name]
 	}
-	return time.Duration(takes)
+	return time.Duration(duration)
 }
 
-// drawTaskDurations draws how long each task of a job takes, if estimates are off.
+// drawTaskDurations draws the time of each task of a job, if estimates have errors.
 func (w *World) drawTaskDurations(c *jobRecord) {
 	if w.Estimates == (EstimateErrors{}) || c.submission.Lasts() {
 		return
@@ -42,30 +43,30 @@
 	c.taskDurations = map[mothferry.TaskName]time.Duration{}
 	for i, step := range c.submission.Steps {
 		for x := range step.Count {
-			takes := float64(step.Estimate) * w.queueErrors[queue] * w.logNormal(1, w.Estimates.TaskSpread)
+			duration := float64(step.Estimate) * w.queueErrors[queue] * w.logNormal(1, w.Estimates.TaskSpread)
 			if w.chance(w.Estimates.TailFraction) {
-				takes *= w.Estimates.TailFactor
+				duration *= w.Estimates.TailFactor
 			}
-			c.taskDurations[mothferry.TaskName{Job: c.id, Step: i, Index: x}] = time.Duration(takes)
+			c.taskDurations[mothferry.TaskName{Job: c.id, Step: i, Index: x}] = time.Duration(duration)
 		}
 	}
 }
 
-// criticalPath returns the longest chain of work of a job: of what its tasks take where that is drawn,
-// or of their estimates.
+// criticalPath returns the length of a job's critical path. A step counts as its longest drawn
+// task time, or as its estimate if that is longer or no times are drawn.
 func (c *jobRecord) criticalPath() time.Duration {
 	if c.taskDurations == nil {
 		return c.submission.CriticalPath()
 	}
 	s := c.submission
 	s.Steps = slices.Clone(s.Steps)
-	for name, takes := range c.taskDurations {
-		s.Steps[name.Step].Estimate = max(s.Steps[name.Step].Estimate, takes)
+	for name, duration := range c.taskDurations {
+		s.Steps[name.Step].Estimate = max(s.Steps[name.Step].Estimate, duration)
 	}
 	return s.CriticalPath()
 }
 
-// workDone returns how much of its time a run has got done. One that hangs gets nothing done.
+// workDone returns how much of its duration a run has done. A hung run does nothing.
 func (r *run) workDone(now time.Time, pace float64) time.Duration {
 	if r.hung {
 		return 0
@@ -73,7 +74,7 @@
 	return r.workAtPaceChange + time.Duration(float64(now.Sub(r.paceChangedAt))*pace)
 }
 
-// setPace has a worker get its tasks done faster or slower from now on.
+// setPace changes the speed at which a worker executes its tasks.
 func (o *worker) setPace(pace float64) {
 	for _, name := range o.runningTasks() {
 		r := o.running[name]
@@ -87,32 +88,32 @@
 	o.pace = pace
 }
 
-// scheduleEnd has a run end once its work is done, unless the worker's pace changes before.
+// scheduleEnd ends a run once its work is done, unless the worker's pace changes before.
 func (o *worker) scheduleEnd(name mothferry.TaskName, r *run) {
 	if r.hung {
 		return
 	}
-	paced := r.paceChanges
+	paceChanges := r.paceChanges
 	o.world.after(time.Duration(float64(r.duration-r.workAtPaceChange)/o.pace), func() {
-		if r.paceChanges == paced {
+		if r.paceChanges == paceChanges {
 			o.finish(name, r)
 		}
 	})
 }
 
-// SlowWorker has a machine's worker take some times as long for its tasks for a while.
-func (w *World) SlowWorker(index int, times float64, d time.Duration) {
-	w.degradeWorker(index, d, func(k *worker) { k.setPace(1 / times) }, func(k *worker) { k.setPace(1) })
+// SlowWorker multiplies the time of all tasks of a machine's worker by times for d.
+func (w *World) SlowWorker(index int, factor float64, d time.Duration) {
+	w.degradeWorker(index, d, func(k *worker) { k.setPace(1 / factor) }, func(k *worker) { k.setPace(1) })
 }
 
-// HangWorker has a machine's worker hang a part of the tasks that it starts in a while.
-func (w *World) HangWorker(index int, part float64, d time.Duration) {
-	w.degradeWorker(index, d, func(k *worker) { k.hangFraction = part }, func(k *worker) { k.hangFraction = 0 })
+// HangWorker hangs a fraction of the tasks that a machine's worker starts within d.
+func (w *World) HangWorker(index int, fraction float64, d time.Duration) {
+	w.degradeWorker(index, d, func(k *worker) { k.hangFraction = fraction }, func(k *worker) { k.hangFraction = 0 })
 }
 
 func (w *World) degradeWorker(index int, d time.Duration, begin, end func(*worker)) {
-	k, there := w.workers[w.machines[index%len(w.machines)].worker]
-	if !there || k.ended {
+	k, found := w.workers[w.machines[index%len(w.machines)].worker]
+	if !found || k.ended {
 		return
 	}
 	begin(k)
@@ -123,27 +124,29 @@
 	})
 }
 
-// LoadDegraded has a part of a service's workers, as they are then, be slow or hang tasks.
+// LoadDegraded makes a fraction of the workers that a service has at Start slow, or hang
+// tasks.
 type LoadDegraded struct {
 	Service mothferry.ServiceID `yaml:"service"`
-	// Fraction is the part of the service's machines.
+	// Fraction is the fraction of the service's machines.
 	Fraction float64       `yaml:"share"`
 	Start    time.Duration `yaml:"from"`
 	Duration time.Duration `yaml:"for"`
-	// SlowFactor is how many times as long their tasks take; Hang the part of them that hangs.
+	// SlowFactor multiplies the time of the workers' tasks; HangFraction is the fraction of
+	// the tasks that hang.
 	SlowFactor   float64 `yaml:"slow"`
 	HangFraction float64 `yaml:"hang"`
 }
 
 func (w *World) degradePool(u LoadDegraded) {
-	var in []int
+	var pool []int
 	for i, m := range w.machines {
 		if m.pool == u.Service && m.worker != "" {
-			in = append(in, i)
+			pool = append(pool, i)
 		}
 	}
-	w.Random.Shuffle(len(in), func(a, b int) { in[a], in[b] = in[b], in[a] })
-	for _, i := range in[:int(math.Ceil(u.Fraction*float64(len(in))))] {
+	w.Random.Shuffle(len(pool), func(a, b int) { pool[a], pool[b] = pool[b], pool[a] })
+	for _, i := range pool[:int(math.Ceil(u.Fraction*float64(len(pool))))] {
 		if u.SlowFactor > 0 {
 			w.SlowWorker(i, u.SlowFactor, u.Duration)
 		}
--- a/mfemulate/fleet.go
+++ b/mfemulate/fleet.go
@@ -11,25 +11,26 @@
 	"mothferry/mfsched"
 )
 
-// machine is what a worker runs on.
+// machine is a machine that runs one worker.
 type machine struct {
 	id    mothferry.MachineID
 	pool  mothferry.ServiceID
 	rack  mothferry.RackID
 	state mothferry.MachineState
-	// worker is its worker, listed the life that the list of workers shows.
+	// worker is the current incarnation, empty while there is none; listedWorker is the one
+	// that the list of workers shows.
 	worker       mothferry.WorkerID
 	listedWorker mothferry.WorkerID
-	// previousWorker is the id of the life before.
+	// previousWorker is the id of the previous incarnation.
 	previousWorker mothferry.WorkerID
 	capacity       mothferry.Resources
 }
 
-// AddMachines adds machines to a pool, four to a rack, each with a worker.
-func (w *World) AddMachines(pool mothferry.ServiceID, count int, has mothferry.Resources) {
+// AddMachines adds machines with a worker each to a pool, four to a rack.
+func (w *World) AddMachines(pool mothferry.ServiceID, count int, capacity mothferry.Resources) {
 	for i := range count {
 		m := &machine{
-			id: mothferry.MachineID(fmt.Sprintf("m-%s-%02d", pool, i)), pool: pool, capacity: has,
+			id: mothferry.MachineID(fmt.Sprintf("m-%s-%02d", pool, i)), pool: pool, capacity: capacity,
 			rack: mothferry.RackID(fmt.Sprintf("r-%s-%d", pool, i/4)),
 		}
 		w.machines = append(w.machines, m)
@@ -67,7 +68,7 @@
 	o.do(func() { o.step(e) })
 }
 
-// endWorker ends a life: all that it ran is gone.
+// endWorker ends a worker's incarnation with all its runs.
 func (w *World) endWorker(m *machine) {
 	k := w.workers[m.worker]
 	for _, name := range k.runningTasks() {
@@ -83,7 +84,7 @@
 	})
 }
 
-// CrashWorker ends a machine's worker; another life begins a while later.
+// CrashWorker crashes a machine's worker; another incarnation starts after down.
 func (w *World) CrashWorker(index int, down time.Duration) {
 	m := w.machines[index%len(w.machines)]
 	if m.state == mothferry.MachineUp {
@@ -100,10 +101,10 @@
 	w.after(down, func() { w.startWorker(m) })
 }
 
-// PartitionWorker cuts a machine's worker off for a while; it runs on.
+// PartitionWorker makes a machine's worker unreachable for d; its runs continue.
 func (w *World) PartitionWorker(index int, d time.Duration) {
-	k, there := w.workers[w.machines[index%len(w.machines)].worker]
-	if !there {
+	k, found := w.workers[w.machines[index%len(w.machines)].worker]
+	if !found {
 		return
 	}
 	k.unreachable, k.unreachableUntil = true, w.now.Add(d)
@@ -111,14 +112,14 @@
 }
 
 const (
-	// takeoverHold is how long after a takeover machines are left alone, callWithin
-	// how long after the last stored commit they may be changed, as at the
-	// real owner.
+	// As at the real owner, machines are left alone for takeoverHold after a takeover, and are
+	// changed only while the last stored commit is no older than maxCommitAge.
 	takeoverHold = 3300 * time.Millisecond
 	maxCommitAge = time.Second
 )
 
-// controlMachines lists machines and does what is planned, if machines may move.
+// controlMachines lists the machines and carries out the planned operations, if machines may
+// move.
 func (o *owner) controlMachines() {
 	w := o.world
 	o.do(func() {
@@ -151,7 +152,7 @@
 	}
 }
 
-// coresOf returns how many cores machines have that are not down.
+// coresOf returns the cores of all machines that are not down.
 func coresOf(machines []mothferry.Machine) float64 {
 	sum := 0.0
 	for _, m := range machines {
@@ -187,17 +188,18 @@
 	return mfduty.AnswerDone
 }
 
-// wave is upkeep that is asked for, and on which machines it was done.
+// wave is a requested maintenance wave and the machines that it has completed.
 type wave struct {
 	request     mfsched.Wave
 	requestedAt time.Time
 	done        []mothferry.MachineID
 }
 
-// RequestMaintenance asks for the upkeep of some machines within a time, so many of them at once.
-func (w *World) RequestMaintenance(indexes []int, within time.Duration, atOnce int) {
+// RequestMaintenance requests maintenance of some machines within a time, at most atOnce in
+// parallel.
+func (w *World) RequestMaintenance(indexes []int, within time.Duration, maxDown int) {
 	id := mothferry.WaveID(len(w.waves) + 1)
-	v := &wave{request: mfsched.Wave{Wave: id, Within: within, MaxDown: atOnce}, requestedAt: w.now}
+	v := &wave{request: mfsched.Wave{Wave: id, Within: within, MaxDown: maxDown}, requestedAt: w.now}
 	for _, i := range indexes {
 		v.request.Machines = append(v.request.Machines, w.machines[i%len(w.machines)].id)
 	}
@@ -205,7 +207,7 @@
 	w.owner.do(func() { w.owner.machineControl.AddWave(v.request, w.now) })
 }
 
-// restoreWaves takes in the waves that are known at a takeover.
+// restoreWaves gives a new owner the waves that were requested before it took over.
 func (o *owner) restoreWaves() {
 	for id, v := range o.world.waves {
 		o.machineControl.RestoreWave(id, v.requestedAt, v.done)
@@ -213,7 +215,7 @@
 	}
 }
 
-// Submit hands a job in.
+// Submit stores a job as accepted and passes it to the owner.
 func (w *World) Submit(s mfjob.Submission) mothferry.JobID {
 	id := mothferry.JobID(fmt.Sprintf("%016x", len(w.jobOrder)+1))
 	s.Accepted = w.now
@@ -233,7 +235,7 @@
 	return id
 }
 
-// inboxDelay is how long an accepted job takes to its owner.
+// inboxDelay is the time from a job's acceptance until the owner receives it.
 const inboxDelay = 20 * time.Millisecond
 
 // Cancel cancels a job.
@@ -242,7 +244,7 @@
 	w.after(inboxDelay, func() { w.notifyOwner(mfsched.CancelRequested{Job: id}) })
 }
 
-// Unfinished counts accepted jobs without an end that should have one.
+// Unfinished counts the accepted jobs that should have ended and have not.
 func (w *World) Unfinished() int {
 	count := 0
 	for _, c := range w.jobs {
@@ -253,7 +255,7 @@
 	return count
 }
 
-// DescribeUnfinished tells of each job without an end what the store holds of it.
+// DescribeUnfinished returns the stored progress of each job that Unfinished counts.
 func (w *World) DescribeUnfinished() []string {
 	var out []string
 	for _, id := range w.jobOrder {
--- a/mfemulate/history_test.go
+++ b/mfemulate/history_test.go
@@ -23,17 +23,17 @@
 	}
 }
 
-// newWorld returns a world of two services with a standby pool.
+// newWorld returns a world of two services and a standby pool.
 func newWorld(seed uint64, faults mfemulate.Faults, moves bool) *mfemulate.World {
 	w := &mfemulate.World{
 		Limits: limits(), Faults: faults, Random: rand.New(rand.NewPCG(seed, 7)), Queues: queues(),
 		Standby: map[mothferry.ServiceID]bool{"off": true}, Moves: moves,
 	}
 	w.Begin()
-	has := mothferry.Resources{Cores: 16000, Memory: 32 * mothferry.Gibibyte}
-	w.AddMachines("a", 5, has)
-	w.AddMachines("b", 5, has)
-	w.AddMachines("off", 3, has)
+	capacity := mothferry.Resources{Cores: 16000, Memory: 32 * mothferry.Gibibyte}
+	w.AddMachines("a", 5, capacity)
+	w.AddMachines("b", 5, capacity)
+	w.AddMachines("off", 3, capacity)
 	return w
 }
 
@@ -61,13 +61,12 @@
 	}}}
 }
 
-// Histories of faults, drawn by seed: orders and answers lost, orders carried
-// out seconds late, commits without answer, owners killed, frozen and cut off
-// from the store while they still reach workers, workers crashed and silent,
-// machines moving. Whatever comes, no task runs twice at the same time or after
-// it was done, none starts before its turn or after its job's cancel, nothing is
-// shown as completed that is not; and once the faults are over, every accepted
-// job comes to an end.
+// Fault histories drawn by seed: orders and answers lost, orders executed seconds late,
+// commits without an answer, owners killed, suspended, and partitioned from the store while
+// they still reach workers, workers crashed and unreachable, machines moving. No task may run
+// twice at the same time or after it is done, none may start before its dependencies are done
+// or after its job's cancel, and no unfinished job may be stored as completed. Once the faults
+// end, every accepted job has to finish.
 func TestHistories(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -77,20 +76,20 @@
 		f := w.Summarize()
 		unfinished := f.Jobs - f.OnTime - f.Late - f.Failed - f.TooLate
 		assert.Equal(t, unfinished, 0)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end")
+		assert.Equal(t, w.Unfinished(), 0, "unfinished jobs")
 	})
 }
 
-// Histories in which most workers that start again have the id that they had, some of them
-// within one look, and know nothing of before: the same holds. What such a worker was told
-// in its life before and had not carried out is gone with that life.
+// The same invariants hold if most restarted workers reuse their id, some within one poll, and
+// know nothing of their previous incarnation. Orders that the previous incarnation received
+// and had not executed are lost.
 func TestHistoriesWithReusedWorkerIDs(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := sameIDHistory(seed)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
+		assert.Equal(t, w.Unfinished(), 0, "unfinished jobs: %v", w.DescribeUnfinished())
 	})
 }
 
@@ -113,57 +112,57 @@
 	return faultHistory(seed, func(*mfemulate.Faults) {})
 }
 
-// faultHistory plays the history of a seed with further faults.
-func faultHistory(seed uint64, further func(*mfemulate.Faults)) *mfemulate.World {
-	return newHistory(seed, historyOptions{jobs: defaultJobs, addFaults: further, prepare: func(*mfemulate.World) {}})
+// faultHistory runs the history of a seed with additional faults.
+func faultHistory(seed uint64, addFaults func(*mfemulate.Faults)) *mfemulate.World {
+	return newHistory(seed, historyOptions{jobs: defaultJobs, addFaults: addFaults, prepare: func(*mfemulate.World) {}})
 }
 
-// historyOptions is what a history has beside the faults that all have.
+// historyOptions are what a history adds to the faults that all have.
 type historyOptions struct {
 	addFaults func(*mfemulate.Faults)
 	prepare   func(*mfemulate.World)
-	// accounts says that three of four jobs belong to client accounts.
+	// accounts assigns three of four jobs to client accounts.
 	accounts bool
-	// jobs is how many jobs are handed in that do not last.
+	// jobs is the number of jobs submitted that are not lasting.
 	jobs int
-	// speculative says that copies may run of about half of the steps.
+	// speculative allows copies of about half of the steps.
 	speculative bool
-	// preparesLasting says that prepare hands the lasting jobs in.
+	// preparesLasting is set if prepare submits the lasting jobs.
 	preparesLasting bool
 }
 
-// defaultJobs are so many that the log of progress is seldom empty at a takeover.
+// defaultJobs is large enough that the progress log is seldom empty at a takeover.
 const defaultJobs = 60
 
-// newHistory plays the history of a seed.
-func newHistory(seed uint64, kind historyOptions) *mfemulate.World {
+// newHistory runs the fault history of a seed.
+func newHistory(seed uint64, options historyOptions) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 1))
-	rate := func(most float64) float64 {
+	rate := func(maximum float64) float64 {
 		if r.IntN(2) == 0 {
 			return 0
 		}
-		return r.Float64() * most
+		return r.Float64() * maximum
 	}
 	faults := mfemulate.Faults{
 		LoseOrder: rate(0.05), LoseAnswer: rate(0.1), LateOrder: rate(0.1), LateBy: 8 * time.Second,
 		LoseCommitAnswer: rate(0.1), FailTask: rate(0.05),
 	}
-	kind.addFaults(&faults)
+	options.addFaults(&faults)
 	w := newWorld(seed, faults, r.IntN(2) == 0)
-	kind.prepare(w)
-	const busy = 20 * time.Second
-	at := func() time.Duration { return time.Second + time.Duration(r.Int64N(int64(busy))) }
-	for range kind.jobs {
+	options.prepare(w)
+	const faultPeriod = 20 * time.Second
+	at := func() time.Duration { return time.Second + time.Duration(r.Int64N(int64(faultPeriod))) }
+	for range options.jobs {
 		s := drawJob(r, "qa", "a")
 		if r.IntN(2) == 0 {
 			s = drawJob(r, "qb", "b")
 		}
 		d := at()
-		if kind.accounts {
+		if options.accounts {
 			s.Account = []mothferry.AccountID{"x", "y", "z", ""}[r.IntN(4)]
 		}
 		for i := range s.Steps {
-			s.Steps[i].Speculative = kind.speculative && r.IntN(2) == 0
+			s.Steps[i].Speculative = options.speculative && r.IntN(2) == 0
 		}
 		w.At(d, func() {
 			id := w.Submit(s)
@@ -172,12 +171,12 @@
 			}
 		})
 	}
-	lasts := lastingJob("qa", "a")
-	if kind.accounts {
-		lasts.Account = "x"
+	lasting := lastingJob("qa", "a")
+	if options.accounts {
+		lasting.Account = "x"
 	}
-	if !kind.preparesLasting {
-		w.At(500*time.Millisecond, func() { w.Submit(lasts) })
+	if !options.preparesLasting {
+		w.At(500*time.Millisecond, func() { w.Submit(lasting) })
 	}
 	for range r.IntN(3) {
 		w.At(at(), func() { w.KillOwner(1700 * time.Millisecond) })
@@ -196,9 +195,9 @@
 		i, d := r.IntN(13), time.Duration(r.Int64N(int64(8*time.Second)))
 		w.At(at(), func() { w.PartitionWorker(i, d) })
 	}
-	w.At(busy+8*time.Second, func() {
+	w.At(faultPeriod+8*time.Second, func() {
 		w.Faults = mfemulate.Faults{CrashAfter: faults.CrashAfter, CrashDown: faults.CrashDown, ReuseID: faults.ReuseID, MeanLastingTime: faults.MeanLastingTime}
 	})
-	w.Run(busy + 60*time.Second)
+	w.Run(faultPeriod + 60*time.Second)
 	return w
 }
--- a/mfemulate/host.go
+++ b/mfemulate/host.go
@@ -14,34 +14,35 @@
 )
 
 const (
-	// headReadInterval is how often a host reads the owner's word.
+	// headReadInterval is how often a host reads the owner's head.
 	headReadInterval = 300 * time.Millisecond
-	// allocationInterval is how often an owner works accounts' shares out.
+	// allocationInterval is how often an owner recomputes the accounts' allocation.
 	allocationInterval = 200 * time.Millisecond
-	// retryUnit is the unit in which callers are told when to come back.
+	// retryUnit is the unit of the retry-after time; callers round it up.
 	retryUnit = time.Second
 )
 
-// host is an entry host, with the real decisions about what is taken in.
+// host is an entry host with the real admission decisions.
 type host struct {
 	world    *World
 	intake   *mfintake.Intake
 	lastHead *mfrecord.Head
-	// headVersion is that of the row that it read last, deaf until when it reads nothing.
+	// headVersion is the version of the head that was read last. The host reads nothing until
+	// readsPausedUntil.
 	headVersion      mothferry.Version
 	readsPausedUntil time.Time
 }
 
-// clock is the world's.
+// clock is the simulated clock.
 type clock struct{ world *World }
 
 // Now implements mothferry.Clock.
 func (c clock) Now() time.Time { return c.world.now }
 
-// After implements mothferry.Clock. Nothing that is asked of a host waits.
+// After implements mothferry.Clock. The host code under simulation never waits.
 func (c clock) After(time.Duration) <-chan time.Time { return nil }
 
-// AddHosts adds entry hosts, each of which reads the owner's word at its own times.
+// AddHosts adds entry hosts, each of which reads the owner's head at its own times.
 func (w *World) AddHosts(count int) {
 	for range count {
 		h := &host{world: w}
@@ -54,7 +55,7 @@
 	}
 }
 
-// start begins anew, without what the host counted.
+// start starts the host without any previous counts.
 func (h *host) start() {
 	h.lastHead, h.headVersion = nil, 0
 	h.intake = &mfintake.Intake{
@@ -63,10 +64,10 @@
 	}
 }
 
-// RestartHost ends a host and starts it again at once.
+// RestartHost restarts a host without delay.
 func (w *World) RestartHost(index int) { w.hosts[index].start() }
 
-// PauseHeadReads keeps a host from reading the owner's word for a while.
+// PauseHeadReads keeps a host from reading the owner's head for d.
 func (w *World) PauseHeadReads(index int, d time.Duration) {
 	w.hosts[index].readsPausedUntil = w.now.Add(d)
 }
@@ -79,7 +80,7 @@
 	for _, r := range w.storedRows(mfrecord.TableOwner) {
 		head, err := mfrecord.DecodeHead(r.Value)
 		if err != nil {
-			w.violation("the head can't be read: %v", err)
+			w.violation("decode head: %v", err)
 			return
 		}
 		head.ReadAt, head.FirstReadAt = w.now, w.now
@@ -90,7 +91,7 @@
 	}
 }
 
-// encodeHead returns the row that the owner stores of itself.
+// encodeHead returns the encoded head row of the owner.
 func (o *owner) encodeHead() []byte {
 	w := o.world
 	head := mfrecord.Head{Holder: "emulated", Epoch: o.epoch}
@@ -105,23 +106,25 @@
 	}
 	data, err := head.Encode()
 	if err != nil {
-		w.violation("the head can't be encoded: %v", err)
+		w.violation("encode head: %v", err)
 	}
 	return data
 }
 
-// AccountStats counts what callers of an account asked for.
+// AccountStats counts the jobs that callers of an account submitted at hosts.
 type AccountStats struct {
-	// Jobs is how many they have, Accepted how many of them were accepted; InTime of these
-	// were completed in time after that, Useless of no use. Refused were never accepted.
+	// Jobs counts the jobs submitted and Accepted those of them that were accepted. Of these,
+	// OnTime completed within their objective after acceptance, and TooLateOrFailed later than
+	// TooLateFactor times it or not at all. Refused jobs were never accepted.
 	Jobs, Accepted, OnTime, TooLateOrFailed, Refused int
-	// Refusals counts tries that were refused, BesideRoom those of them that could have begun at once.
+	// Refusals counts the refused attempts, RefusedWithCapacity those of them whose job could
+	// have started without delay.
 	Refusals, RefusedWithCapacity int
 }
 
-// SubmitAtHost has a caller hand a job in at any host. A caller that is refused comes back when it
-// was told to, so many times.
-func (w *World) SubmitAtHost(s mfjob.Submission, returns int) {
+// SubmitAtHost submits a job at a random host. A caller whose job is refused tries again after
+// the time it was told, at most retries times.
+func (w *World) SubmitAtHost(s mfjob.Submission, retries int) {
 	a, ok := w.accountStats[s.Account]
 	if !ok {
 		a = &AccountStats{}
@@ -129,14 +132,14 @@
 	}
 	a.Jobs++
 	w.submissions++
-	w.trySubmit(mothferry.JobID(fmt.Sprintf("asked-%d", w.submissions)), s, a, returns)
+	w.trySubmit(mothferry.JobID(fmt.Sprintf("asked-%d", w.submissions)), s, a, retries)
 }
 
-func (w *World) trySubmit(id mothferry.JobID, s mfjob.Submission, a *AccountStats, returns int) {
+func (w *World) trySubmit(id mothferry.JobID, s mfjob.Submission, a *AccountStats, retries int) {
 	h := w.hosts[w.Random.IntN(len(w.hosts))]
 	q := w.Queues[s.Queue]
 	queue := mfqueue.Queue{ID: s.Queue, Service: q.Service, Stretch: q.Stretch, Latency: q.Latency}
-	again, refused := h.intake.Refuse(context.Background(), id, queue, s)
+	retryAfter, refused := h.intake.Refuse(context.Background(), id, queue, s)
 	if refused {
 		a.Refusals++
 		if w.couldStart(s) {
@@ -147,15 +150,15 @@
 	case !refused:
 		a.Accepted++
 		w.Submit(s)
-	case returns == 0:
+	case retries == 0:
 		a.Refused++
 	default:
-		units := max(1, (again+retryUnit-1)/retryUnit)
-		w.after(units*retryUnit, func() { w.trySubmit(id, s, a, returns-1) })
+		units := max(1, (retryAfter+retryUnit-1)/retryUnit)
+		w.after(units*retryUnit, func() { w.trySubmit(id, s, a, retries-1) })
 	}
 }
 
-// AccountStats returns what callers of each account asked for and what came of it.
+// AccountStats returns the counts of each account.
 func (w *World) AccountStats() map[mothferry.AccountID]AccountStats {
 	out := map[mothferry.AccountID]AccountStats{}
 	for id, a := range w.accountStats {
@@ -166,11 +169,11 @@
 		if !ok || c.submission.Lasts() {
 			continue
 		}
-		took, aim := c.completed.Sub(c.submission.Accepted), w.objective(c)
+		took, objective := c.completed.Sub(c.submission.Accepted), w.objective(c)
 		switch {
-		case c.state != mfjob.StateCompleted || took > mfjob.TooLateFactor*aim:
+		case c.state != mfjob.StateCompleted || took > mfjob.TooLateFactor*objective:
 			a.TooLateOrFailed++
-		case took <= aim:
+		case took <= objective:
 			a.OnTime++
 		}
 		out[c.submission.Account] = a
@@ -178,22 +181,22 @@
 	return out
 }
 
-// couldStart reports whether the first step of a job could start at once: its service's
-// workers have room for twice as much, and its account is not near its limit, where a small
-// job has room at most moments beside the line of larger ones.
+// couldStart reports whether the first step of a job could start without delay: its service's
+// workers have free capacity for twice as much, and its account is not near its limit. Near
+// the limit a small job often fits while larger queued ones do not.
 func (w *World) couldStart(s mfjob.Submission) bool {
 	first := s.Steps[0]
 	need := mothferry.Millicores(first.Count) * first.Need.Cores
-	if most := w.limits[s.Account].Cores; most > 0 && float64(w.resourcesInUse(s.Account).Cores+need) > nearLimitFraction*float64(most) {
+	if limit := w.limits[s.Account].Cores; limit > 0 && float64(w.resourcesInUse(s.Account).Cores+need) > nearLimitFraction*float64(limit) {
 		return false
 	}
 	return w.IdleCores(s.Service) >= 2*need
 }
 
-// nearLimitFraction is the part of its limit from which on an account counts as being near it.
+// nearLimitFraction is the fraction of its limit from which an account counts as near it.
 const nearLimitFraction = 0.8
 
-// IdleCores returns what no task takes of a service's workers.
+// IdleCores returns the cores of a service's workers that no task uses.
 func (w *World) IdleCores(service mothferry.ServiceID) mothferry.Millicores {
 	var idle mothferry.Millicores
 	for _, k := range w.workers {
@@ -208,7 +211,7 @@
 	return idle
 }
 
-// RunningCores returns what tasks of an account take.
+// RunningCores returns the cores that an account's tasks use.
 func (w *World) RunningCores(id mothferry.AccountID) mothferry.Millicores {
 	return w.resourcesInUse(id).Cores
 }
--- a/mfemulate/lasting_test.go
+++ b/mfemulate/lasting_test.go
@@ -13,7 +13,8 @@
 	"mothferry/mfjob"
 )
 
-// A successor must not go back to older progress of lasting tasks after the log was empty.
+// A new owner must not return to older progress of lasting tasks after the progress log was
+// empty.
 func TestHistoriesWithManyTakeovers(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -21,7 +22,8 @@
 	})
 }
 
-// Emptying machines for upkeep must not end a lasting task while others of its step are away.
+// Evacuating machines for maintenance must not end a lasting task while too many others of its
+// step are unavailable.
 func TestHistoriesWithMaintenance(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -31,10 +33,10 @@
 
 func checkHistory(t *rapid.T, w *mfemulate.World) {
 	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-	assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
+	assert.Equal(t, w.Unfinished(), 0, "unfinished jobs: %v", w.DescribeUnfinished())
 }
 
-// takeoverHistory plays a history in which the log of progress is often empty at a takeover.
+// takeoverHistory runs a history in which the progress log is often empty at a takeover.
 func takeoverHistory(seed uint64) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 11))
 	return newHistory(seed, historyOptions{
@@ -46,11 +48,11 @@
 			submitLasting(w, r)
 			for at := time.Second; at < 25*time.Second; {
 				at += 500*time.Millisecond + time.Duration(r.Int64N(int64(4*time.Second)))
-				vacant := 200*time.Millisecond + time.Duration(r.Int64N(int64(2*time.Second)))
+				takeoverDelay := 200*time.Millisecond + time.Duration(r.Int64N(int64(2*time.Second)))
 				loss := []func(){
-					func() { w.KillOwner(vacant) },
-					func() { w.FreezeOwner(vacant, vacant+2*time.Second) },
-					func() { w.PartitionOwner(vacant) },
+					func() { w.KillOwner(takeoverDelay) },
+					func() { w.FreezeOwner(takeoverDelay, takeoverDelay+2*time.Second) },
+					func() { w.PartitionOwner(takeoverDelay) },
 				}[r.IntN(3)]
 				w.At(at, loss)
 			}
@@ -58,7 +60,7 @@
 	})
 }
 
-// maintenanceHistory plays a history in which machines with lasting tasks go down for upkeep.
+// maintenanceHistory runs a history with maintenance of machines that run lasting tasks.
 func maintenanceHistory(seed uint64) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 13))
 	return newHistory(seed, historyOptions{
@@ -67,9 +69,9 @@
 		prepare: func(w *mfemulate.World) {
 			submitLasting(w, r)
 			for range 1 + r.IntN(2) {
-				at, within, atOnce := drawTime(r), 5*time.Second+time.Duration(r.Int64N(int64(30*time.Second))), 1+r.IntN(4)
+				at, within, maxDown := drawTime(r), 5*time.Second+time.Duration(r.Int64N(int64(30*time.Second))), 1+r.IntN(4)
 				machines := r.Perm(10)[:3+r.IntN(8)]
-				w.At(at, func() { w.RequestMaintenance(machines, within, atOnce) })
+				w.At(at, func() { w.RequestMaintenance(machines, within, maxDown) })
 			}
 		},
 	})
@@ -79,7 +81,7 @@
 	return time.Second + time.Duration(r.Int64N(int64(20*time.Second)))
 }
 
-// submitLasting hands some lasting jobs in, half of which are cancelled later.
+// submitLasting submits some lasting jobs, half of which are cancelled later.
 func submitLasting(w *mfemulate.World, r *rand.Rand) {
 	for range 1 + r.IntN(4) {
 		s := lastingJob("qa", "a")
@@ -90,11 +92,11 @@
 			Count: 2 + r.IntN(4), Need: mothferry.Resources{Cores: 1500, Memory: mothferry.Gibibyte}, Estimate: 500 * time.Millisecond,
 			Lasting: true, PerWorker: 1 + r.IntN(2), MayMiss: 1 + r.IntN(2),
 		}
-		cancelled, lasts := r.IntN(2) == 0, drawTime(r)
+		cancelled, cancelAfter := r.IntN(2) == 0, drawTime(r)
 		w.At(drawTime(r), func() {
 			id := w.Submit(s)
 			if cancelled {
-				w.At(w.Now()+lasts, func() { w.Cancel(id) })
+				w.At(w.Now()+cancelAfter, func() { w.Cancel(id) })
 			}
 		})
 	}
--- a/mfemulate/load.go
+++ b/mfemulate/load.go
@@ -22,38 +22,38 @@
 	Services []LoadService `yaml:"services"`
 	Queues   []LoadQueue   `yaml:"queues"`
 	Faults   LoadFaults    `yaml:"faults"`
-	// Hosts is how many entry hosts take jobs in; without any nothing is refused.
+	// Hosts is the number of entry hosts that accept jobs; without any, no job is refused.
 	Hosts int `yaml:"hosts"`
-	// Retries is how often a caller comes back that was refused.
+	// Retries is how often a caller retries a refused job.
 	Retries int `yaml:"returns"`
-	// Accounts are the client accounts, which send parts of all traffic by their weights.
+	// Accounts are the client accounts, which share all traffic by their weights.
 	Accounts []LoadAccount `yaml:"accounts"`
-	// Surge is one of all accounts.
+	// Surge multiplies the traffic of all accounts.
 	Surge LoadSurge `yaml:"surge"`
-	// Estimates say how far off estimates of tasks are.
+	// Estimates are the errors of the tasks' estimates.
 	Estimates EstimateErrors `yaml:"estimates"`
-	// Degraded are the times at which workers are slow or hang tasks.
+	// Degraded are the periods in which workers are slow or hang tasks.
 	Degraded []LoadDegraded `yaml:"uneven"`
 }
 
 // LoadAccount is one client account.
 type LoadAccount struct {
 	Name mothferry.AccountID `yaml:"name"`
-	// Weight is the account's, and its part of the traffic beside the others'.
+	// Weight is the account's weight, and its share of the traffic relative to the others'.
 	Weight float64 `yaml:"weight"`
-	// Cores is what it may have running; zero for no bound.
+	// Cores is the account's limit of running cores; zero for none.
 	Cores float64   `yaml:"cores"`
 	Surge LoadSurge `yaml:"surge"`
 }
 
-// LoadSurge has traffic be Times its usual from At of the traffic on, For so long.
+// LoadSurge multiplies normal traffic by Factor for Duration, beginning at Start.
 type LoadSurge struct {
 	Start    time.Duration `yaml:"at"`
 	Duration time.Duration `yaml:"for"`
 	Factor   float64       `yaml:"times"`
 }
 
-// factorAt returns how many times its usual traffic is at a moment.
+// factorAt returns the multiple of normal traffic at d after its beginning.
 func (s LoadSurge) factorAt(d time.Duration) float64 {
 	if d < s.Start || d >= s.Start+s.Duration {
 		return 1
@@ -61,14 +61,14 @@
 	return s.Factor
 }
 
-// LoadFaults is what goes wrong all the time that a load is played.
+// LoadFaults are faults that occur during the whole play.
 type LoadFaults struct {
-	// LateOrders is the part of the orders and looks that get no answer and are carried
-	// out up to LateBy later.
+	// LateOrders is the fraction of the orders and polls that get no answer and are executed
+	// up to LateBy later.
 	LateOrders float64       `yaml:"late_orders"`
 	LateBy     time.Duration `yaml:"late_by"`
-	// CrashJobs is the part of the jobs that have a task that ends each worker that
-	// starts it, CrashAfter its start; the worker is back CrashDown later.
+	// CrashJobs is the fraction of the jobs with a task that crashes each worker that starts
+	// it, CrashAfter its start. The worker restarts CrashDown later.
 	CrashJobs  float64       `yaml:"crash_jobs"`
 	CrashAfter time.Duration `yaml:"crash_after"`
 	CrashDown  time.Duration `yaml:"crash_down"`
@@ -83,7 +83,7 @@
 	Name     mothferry.ServiceID `yaml:"name"`
 	Machines int                 `yaml:"machines"`
 	Cores    float64             `yaml:"cores"`
-	// Memory is what each machine has, in GiB; without it usualMemory.
+	// Memory is each machine's memory in GiB; zero for defaultMemoryGiB.
 	Memory  float64 `yaml:"memory"`
 	Standby bool    `yaml:"standby"`
 }
@@ -96,33 +96,32 @@
 	Attempts int                 `yaml:"attempts"`
 	Stretch  float64             `yaml:"stretch"`
 	Latency  time.Duration       `yaml:"latency"`
-	// Jobs is the mean number a second.
+	// Jobs is the mean number of jobs a second.
 	Jobs float64 `yaml:"jobs"`
-	// Steps, Tasks, Task and Cores are means: steps of a job, tasks of a step,
-	// and a task's time and cores.
+	// Steps, Tasks, TaskTime and Cores are means: steps of a job, tasks of a step, and the
+	// time and cores of a task.
 	Steps    float64       `yaml:"steps"`
 	Tasks    float64       `yaml:"tasks"`
 	TaskTime time.Duration `yaml:"task"`
 	Cores    float64       `yaml:"cores"`
-	// Memory is a task's mean memory, in GiB; its tasks differ in it as in cores.
+	// Memory is the mean memory of a task in GiB, drawn for each step like the cores.
 	Memory float64 `yaml:"memory"`
-	// Speculative is the part of the steps of which copies may run.
+	// Speculative is the fraction of the steps that allow speculative copies.
 	Speculative float64 `yaml:"speculative"`
-	// LastingTasks is how many tasks the queue's one lasting job has.
+	// LastingTasks is the number of tasks of the queue's one lasting job.
 	LastingTasks int      `yaml:"lasting"`
 	Peak         LoadPeak `yaml:"turn"`
 }
 
-// LoadPeak shapes a queue's traffic: For out of Every, it is Times the mean,
-// and Else of the mean at other times. Without Every traffic is even. A smooth
-// turn rises to Times by its middle and falls again.
+// LoadPeak shapes a queue's traffic. For Duration out of each Period it is Factor times the
+// mean, and OffPeakFactor times the mean otherwise. Without a Period traffic is even.
 type LoadPeak struct {
 	Period        time.Duration `yaml:"every"`
 	Duration      time.Duration `yaml:"for"`
 	Phase         time.Duration `yaml:"phase"`
 	Factor        float64       `yaml:"times"`
 	OffPeakFactor float64       `yaml:"else"`
-	// Smooth turns rise and fall as the square of a sine does.
+	// Smooth peaks rise to Factor by their middle and fall again, as the square of a sine.
 	Smooth bool `yaml:"smooth"`
 }
 
@@ -173,36 +172,36 @@
 	return l, text.Err()
 }
 
-// defaultMemoryGiB is what a machine has of which a load file names no memory, in GiB.
+// defaultMemoryGiB is the memory of a machine if the load file names none.
 const defaultMemoryGiB = 32
 
 func gibibytes(amount float64) mothferry.Bytes {
 	return mothferry.Bytes(amount * float64(mothferry.Gibibyte))
 }
 
-// settleTime is how long a play goes on after the traffic.
+// settleTime is how long a play continues after the traffic.
 const settleTime = 20 * time.Second
 
-// Options say how a load is played.
+// Options are the options of a play.
 type Options struct {
 	Limits mfsched.Limits
 	Seed   uint64
-	// Moves says that machines move between pools.
+	// Moves lets machines move between pools.
 	Moves bool
 	// Off holds the features that are switched off.
 	Off mothferry.FeaturesOff
 }
 
-// Play plays a load with the faults that it names and returns its figures.
+// Play simulates a load with the faults that it names and returns its statistics.
 func Play(l Load, o Options) Stats { return l.play(o).Summarize() }
 
-// PlayAccounts plays a load and returns what callers of each account asked for too.
+// PlayAccounts simulates a load and also returns the job counts of each account.
 func PlayAccounts(l Load, o Options) (Stats, map[mothferry.AccountID]AccountStats) {
 	w := l.play(o)
 	return w.Summarize(), w.AccountStats()
 }
 
-// play plays a load.
+// play simulates a load.
 func (l Load) play(o Options) *World {
 	w := &World{
 		Limits: o.Limits, Faults: l.Faults.faults(), Random: rand.New(rand.NewPCG(o.Seed, 1)), Moves: o.Moves, Off: o.Off, Estimates: l.Estimates,
@@ -243,25 +242,25 @@
 	return w
 }
 
-// scheduleAccountArrivals has an account's jobs of a queue arrive.
+// scheduleAccountArrivals schedules the arrivals of an account's jobs of a queue.
 func (w *World) scheduleAccountArrivals(l Load, q LoadQueue, a LoadAccount) {
 	weights := 0.0
 	for _, o := range l.Accounts {
 		weights += o.Weight
 	}
-	usual := q.Jobs * a.Weight / weights
-	most := usual * max(1, q.Peak.Factor, q.Peak.OffPeakFactor) * max(1, a.Surge.Factor) * max(1, l.Surge.Factor)
+	mean := q.Jobs * a.Weight / weights
+	maxRate := mean * max(1, q.Peak.Factor, q.Peak.OffPeakFactor) * max(1, a.Surge.Factor) * max(1, l.Surge.Factor)
 	for at := time.Duration(0); ; {
-		at += time.Duration(w.Random.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(w.Random.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= l.Duration {
 			return
 		}
-		// An account's own surge stands for that of all.
-		times := l.Surge.factorAt(at)
+		// An account's own surge replaces that of all accounts.
+		factor := l.Surge.factorAt(at)
 		if own := a.Surge.factorAt(at); own != 1 {
-			times = own
+			factor = own
 		}
-		if w.Random.Float64() < usual*q.Peak.factorAt(at)*times/most {
+		if w.Random.Float64() < mean*q.Peak.factorAt(at)*factor/maxRate {
 			s := w.drawJob(q)
 			s.Account = a.Name
 			w.At(leadTime+at, func() {
@@ -275,7 +274,7 @@
 	}
 }
 
-// leadTime passes before traffic begins, so that an owner may move machines.
+// leadTime passes before traffic begins, so that the owner may move machines.
 const leadTime = 5 * time.Second
 
 func (w *World) submitLastingJob(q LoadQueue) {
@@ -290,22 +289,22 @@
 	})
 }
 
-// scheduleArrivals has jobs of a queue arrive at random, in the shape of its turns.
+// scheduleArrivals schedules random arrivals of a queue's jobs, shaped by its peaks.
 func (w *World) scheduleArrivals(q LoadQueue, begin, end time.Duration) {
-	most := q.Jobs * max(1, q.Peak.Factor, q.Peak.OffPeakFactor)
+	maxRate := q.Jobs * max(1, q.Peak.Factor, q.Peak.OffPeakFactor)
 	for at := begin; ; {
-		at += time.Duration(w.Random.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(w.Random.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= end {
 			return
 		}
-		if w.Random.Float64() < q.Jobs*q.Peak.factorAt(at-begin)/most {
+		if w.Random.Float64() < q.Jobs*q.Peak.factorAt(at-begin)/maxRate {
 			s := w.drawJob(q)
 			w.At(at, func() { w.Submit(s) })
 		}
 	}
 }
 
-// factorAt returns how many times its mean a queue is asked for at a moment.
+// factorAt returns the multiple of the queue's mean traffic at d after its beginning.
 func (t LoadPeak) factorAt(d time.Duration) float64 {
 	if t.Period <= 0 {
 		return 1
@@ -322,8 +321,8 @@
 	}
 }
 
-// drawJob draws a job of a queue. Widths and times are log-normal, as the users'
-// are: many small jobs, a few that are several times as wide.
+// drawJob draws a job of a queue. Numbers of tasks and times are log-normal, as in the users'
+// traffic: many small jobs, and a few that are several times as wide.
 func (w *World) drawJob(q LoadQueue) mfjob.Submission {
 	s := mfjob.Submission{Queue: q.Name, Service: q.Service, Spec: "spec"}
 	steps := int(q.Steps)
@@ -348,7 +347,8 @@
 	return s
 }
 
-// logNormal draws from a log-normal distribution with a mean and a spread.
+// logNormal draws from a log-normal distribution with a mean and a standard deviation of the
+// logarithm.
 func (w *World) logNormal(mean, sigma float64) float64 {
 	return mean * math.Exp(sigma*w.Random.NormFloat64()-sigma*sigma/2)
 }
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -21,23 +21,23 @@
 	machineControl *mfduty.State
 	incarnations   mfduty.IncarnationTracker
 	epoch          mothferry.Epoch
-	// headVersion is that of the shard's head when this owner last wrote it.
+	// headVersion is the version of the shard's head row as this owner last wrote it.
 	headVersion mothferry.Version
 	journal     *mfjournal.Journal
-	// allocation is how accounts stood when that was last worked out.
+	// allocation is the accounts' allocation, as computed at allocatedAt.
 	allocation  mfshare.Allocation
 	allocatedAt time.Time
-	// dead owners do nothing more; frozen ones keep what reaches them for later.
+	// A dead owner does nothing more; a frozen one defers its events until it continues.
 	dead        bool
 	frozen      bool
 	partitioned bool
 	deferred    []func()
-	// takenOverAt is when it took over, confirmed when its last stored commit was.
+	// takenOverAt is the time of the takeover, lastCommitAt that of the last stored commit.
 	takenOverAt, lastCommitAt time.Time
 }
 
-// TakeOver makes a new owner from what the store holds. The old one is not
-// told: it finds out when it commits.
+// TakeOver starts a new owner from the store's contents. The previous owner is not notified:
+// its next commit fails.
 func (w *World) TakeOver() {
 	w.epoch++
 	w.Stats.Takeovers++
@@ -75,38 +75,39 @@
 	o.controlMachines()
 }
 
-// KillOwner ends the owner at once; another one takes over a while later.
-func (w *World) KillOwner(vacant time.Duration) {
+// KillOwner ends the owner; a new one takes over after vacant.
+func (w *World) KillOwner(takeoverDelay time.Duration) {
 	w.owner.dead = true
-	w.extendFault(w.now.Add(vacant))
-	w.after(vacant, w.TakeOver)
+	w.extendFault(w.now.Add(takeoverDelay))
+	w.after(takeoverDelay, w.TakeOver)
 }
 
-// FreezeOwner stops the owner for a time, while another one takes over. It goes on
-// afterwards with what it knew.
-func (w *World) FreezeOwner(vacant, frozen time.Duration) {
+// FreezeOwner suspends the owner for frozen while a new one takes over after vacant. It then
+// continues with its old state.
+func (w *World) FreezeOwner(takeoverDelay, frozen time.Duration) {
 	o := w.owner
 	o.frozen = true
-	w.extendFault(w.now.Add(max(vacant, frozen)))
-	w.after(vacant, w.TakeOver)
+	w.extendFault(w.now.Add(max(takeoverDelay, frozen)))
+	w.after(takeoverDelay, w.TakeOver)
 	w.after(frozen, func() {
 		o.frozen = false
-		kept := o.deferred
+		deferred := o.deferred
 		o.deferred = nil
-		for _, f := range kept {
+		for _, f := range deferred {
 			f()
 		}
 	})
 }
 
-// PartitionOwner parts the owner from the store, but not from workers; another one takes over.
-func (w *World) PartitionOwner(vacant time.Duration) {
+// PartitionOwner cuts the owner off from the store, but not from workers; a new one takes over
+// after vacant.
+func (w *World) PartitionOwner(takeoverDelay time.Duration) {
 	w.owner.partitioned = true
-	w.extendFault(w.now.Add(vacant))
-	w.after(vacant, w.TakeOver)
+	w.extendFault(w.now.Add(takeoverDelay))
+	w.after(takeoverDelay, w.TakeOver)
 }
 
-// do runs f as the owner, now or when it is no longer frozen.
+// do runs f as the owner, or defers it while the owner is frozen.
 func (o *owner) do(f func()) {
 	switch {
 	case o.dead:
@@ -141,11 +142,11 @@
 		w.Stats.Starts++
 		sent := w.now
 		var clock mothferry.WorkerClock
-		o.sendOrder(v.At.Worker, func(k *worker) error { clock = k.clock(); return k.start(v.Order) }, func(r mfsched.OrderResult, why mothferry.OrderRefusal) {
+		o.sendOrder(v.At.Worker, func(k *worker) error { clock = k.clock(); return k.start(v.Order) }, func(r mfsched.OrderResult, refusal mothferry.OrderRefusal) {
 			if r == mfsched.ResultRefused {
 				w.Stats.Refused++
 			}
-			o.step(mfsched.StartAnswered{Worker: v.At.Worker, Sent: sent, Task: v.Order.Task, Run: v.Order.Run, Result: r, Refusal: why, Clock: clock})
+			o.step(mfsched.StartAnswered{Worker: v.At.Worker, Sent: sent, Task: v.Order.Task, Run: v.Order.Run, Result: r, Refusal: refusal, Clock: clock})
 		})
 	case mfsched.Stop:
 		w.Stats.Stops++
@@ -165,23 +166,23 @@
 	}
 }
 
-// deleteSubmissions deletes what was handed in for jobs. The owner need not be one any more: the
-// deletion checks nothing.
+// deleteSubmissions deletes the submissions of jobs. The deletion is unconditional, so it also
+// takes effect when the sender no longer owns the shard.
 func (w *World) deleteSubmissions(jobs []mothferry.JobID) {
 	for _, id := range jobs {
 		if !w.committed[id].State.Final() {
-			w.violation("what was handed in for job %s is deleted, its end is not stored", id)
+			w.violation("submission of job %s is deleted, its end is not stored", id)
 		}
 		w.jobs[id].submissionDeleted = true
 	}
 }
 
-// recordState takes in the state of a job that callers can read.
+// recordState records the stored state of a job, as callers can read it.
 func (w *World) recordState(id mothferry.JobID, state mfjob.State) {
 	c := w.jobs[id]
 	if c.state.Final() {
 		if c.state != state {
-			w.violation("job %s was %s and is shown as %s", id, c.state, state)
+			w.violation("job %s was %s and is stored as %s", id, c.state, state)
 		}
 		return
 	}
@@ -199,14 +200,14 @@
 	for i, s := range c.submission.Steps {
 		for x := range s.Count {
 			if !c.done[mothferry.TaskName{Job: id, Step: i, Index: x}] {
-				w.violation("job %s is shown as completed, task %d.%d has not ended", id, i, x)
+				w.violation("job %s is stored as completed, task %d.%d is not done", id, i, x)
 			}
 		}
 	}
 }
 
-// sendOrder sends an order over a network that loses and delays.
-func (o *owner) sendOrder(id mothferry.WorkerID, carry func(*worker) error, answered func(mfsched.OrderResult, mothferry.OrderRefusal)) {
+// sendOrder sends an order to a worker over a network that loses and delays calls.
+func (o *owner) sendOrder(id mothferry.WorkerID, execute func(*worker) error, answered func(mfsched.OrderResult, mothferry.OrderRefusal)) {
 	w := o.world
 	unknown := func() { o.do(func() { answered(mfsched.ResultUnknown, "") }) }
 	switch {
@@ -219,7 +220,7 @@
 		w.after(time.Duration(w.Random.Float64()*float64(w.Faults.LateBy)), func() {
 			if k != nil && !k.ended {
 				w.lateOrder, w.lateOrderLimits = true, limits
-				_ = carry(k)
+				_ = execute(k)
 				w.lateOrder, w.lateOrderLimits = false, nil
 			}
 		})
@@ -230,16 +231,16 @@
 		k := w.workers[id]
 		if k == nil || k.unreachable || lost {
 			if k != nil && !k.ended && !k.unreachable {
-				_ = carry(k)
+				_ = execute(k)
 			}
 			w.after(callTimeout, unknown)
 			return
 		}
-		r, why := mfsched.ResultIncarnationEnded, mothferry.OrderRefusal("")
+		r, refusal := mfsched.ResultIncarnationEnded, mothferry.OrderRefusal("")
 		if !k.ended {
-			r, why = resultOf(carry(k))
+			r, refusal = resultOf(execute(k))
 		}
-		w.after(orderDelay, func() { o.do(func() { answered(r, why) }) })
+		w.after(orderDelay, func() { o.do(func() { answered(r, refusal) }) })
 	})
 }
 
@@ -254,10 +255,10 @@
 func (o *owner) sendPoll(v mfsched.Poll) {
 	w := o.world
 	sent := w.now
-	over := false
+	finished := false
 	end := func(e mfsched.Event) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			o.do(func() { o.step(e) })
 		}
 	}
--- a/mfemulate/share_test.go
+++ b/mfemulate/share_test.go
@@ -13,10 +13,10 @@
 	"mothferry/mfsched"
 )
 
-// Two accounts share a pool that holds what both are owed. One sends six times its rate for
-// ten seconds, so that the pool is asked for more than twice what it can do. Served in one
-// order whoever sent them, the jobs that nobody is owed made half of the other account's
-// late. The aim: nine tenths of what is within an account's rate is in time all the same.
+// One of two accounts that share a pool sends six times its rate for ten seconds, so that
+// demand is more than twice the capacity. Served in one order regardless of the account, half
+// of the other account's jobs are late. Nine tenths of the jobs within their account's rate
+// must be on time.
 func TestAccountOverItsRateDelaysOnlyItself(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -40,9 +40,9 @@
 		send("eager", 36)
 		w.Run(40 * time.Second)
 		steady, eager := w.OnTimeFraction("steady"), w.OnTimeFraction("eager")
-		t.Logf("seed %d: in time %.2f of the steady account's jobs, %.2f of the eager one's", seed+1, steady, eager)
+		t.Logf("seed %d: on time %.2f of the steady account's jobs, %.2f of the eager one's", seed+1, steady, eager)
 		assert.Equal(t, len(w.Violations), 0)
 		assert.Assert(t, steady >= 0.9)
-		assert.Equal(t, w.Unfinished(), 0, "what is beyond the rate runs too")
+		assert.Equal(t, w.Unfinished(), 0, "jobs over the rate have to run too")
 	}
 }
--- a/mfemulate/shortage_test.go
+++ b/mfemulate/shortage_test.go
@@ -18,24 +18,24 @@
 type shortageStats struct {
 	weightedOnTime float64
 	moves          int
-	// queues holds the part in time of each queue's jobs.
+	// queues holds the on-time fraction of each queue's jobs.
 	queues map[mothferry.QueueID]float64
 }
 
-// worst returns the smallest part in time of any queue.
+// worst returns the smallest on-time fraction of any queue.
 func (f shortageStats) worst() float64 {
 	least := 1.0
-	for _, part := range f.queues {
-		least = min(least, part)
+	for _, fraction := range f.queues {
+		least = min(least, fraction)
 	}
 	return least
 }
 
-// mean returns the mean of the queues' parts in time.
+// mean returns the mean of the queues' on-time fractions.
 func (f shortageStats) mean() float64 {
 	sum := 0.0
-	for _, part := range f.queues {
-		sum += part
+	for _, fraction := range f.queues {
+		sum += fraction
 	}
 	return sum / float64(len(f.queues))
 }
@@ -53,8 +53,8 @@
 			assert.Check(t, f.Violations == 0)
 			sum.weightedOnTime += f.WeightedOnTime / float64(seeds)
 			sum.moves += f.Moves / seeds
-			for id, part := range f.OnTimeByQueue {
-				sum.queues[id] += part / float64(seeds)
+			for id, fraction := range f.OnTimeByQueue {
+				sum.queues[id] += fraction / float64(seeds)
 			}
 		}
 		return sum
@@ -63,13 +63,13 @@
 	both.Go(func() { on = play(nil) })
 	both.Go(func() { off = play(mothferry.FeaturesOff{mothferry.FeaturePoolSizes: true}) })
 	both.Wait()
-	t.Logf("with: worth %.3f, %d moves, %v; without: worth %.3f, %d moves, %v", on.weightedOnTime, on.moves, on.queues, off.weightedOnTime, off.moves, off.queues)
+	t.Logf("with: weighted on-time fraction %.3f, %d moves, %v; without: %.3f, %d moves, %v", on.weightedOnTime, on.moves, on.queues, off.weightedOnTime, off.moves, off.queues)
 	return on, off
 }
 
 func unchangedLoad(*mfemulate.Load) {}
 
-// The queue whose tasks fill memory must not wait while its pool has idle cores.
+// A queue whose tasks fill memory must not wait while its pool has idle cores.
 func TestPoolIsSizedByMemory(t *testing.T) {
 	t.Parallel()
 	on, off := comparePoolSizing(t, mfexample.Memory, 2, unchangedLoad)
@@ -77,14 +77,15 @@
 	assert.Assert(t, on.mean() > off.mean()+0.05)
 }
 
-// A pool whose turn is over must not keep machines while the next one's jobs become late.
+// A pool whose demand peak has passed must not keep machines while the next pool's jobs become
+// late.
 func TestOverlappingPeaksShareTheFleet(t *testing.T) {
 	t.Parallel()
 	on, off := comparePoolSizing(t, mfexample.Overlap, 2, unchangedLoad)
 	assert.Assert(t, on.weightedOnTime > off.weightedOnTime)
 }
 
-// Demand of one and a half times the fleet for good must not leave it to chance which pool
+// Under sustained demand of one and a half times the fleet, chance must not decide which pool
 // has the machines.
 func TestSustainedShortage(t *testing.T) {
 	t.Parallel()
@@ -92,7 +93,7 @@
 	assert.Assert(t, on.weightedOnTime >= off.weightedOnTime)
 }
 
-// Demand of three times the fleet for good must be served no worse than before.
+// Sustained demand of three times the fleet must be served no worse than without FeatureRooms.
 func TestSustainedThreefoldShortage(t *testing.T) {
 	t.Parallel()
 	on, off := comparePoolSizing(t, mfexample.ShortLasting, 1, func(l *mfemulate.Load) {
@@ -105,26 +106,27 @@
 	assert.Assert(t, on.worst() >= off.worst())
 }
 
-// A turn of one and a half times the fleet must be served no worse than before.
+// A demand peak of one and a half times the fleet must be served no worse than without
+// FeatureRooms.
 func TestDemandPeakBeyondFleet(t *testing.T) {
 	t.Parallel()
 	on, off := comparePoolSizing(t, mfexample.ShortTurn, 1, unchangedLoad)
 	assert.Assert(t, on.weightedOnTime >= off.weightedOnTime)
 }
 
-// Histories of faults in which both pools are asked for more than the fleet, so that machines
-// are emptied and moved all the time: the rules of Histories hold.
+// The invariants of TestHistories hold while the demand of both pools exceeds the fleet, so
+// that machines are evacuated and moved all the time.
 func TestHistoriesWithShortFleet(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w := shortFleetHistory(seed)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-		assert.Equal(t, w.Unfinished(), 0, "jobs without an end: %v", w.DescribeUnfinished())
+		assert.Equal(t, w.Unfinished(), 0, "unfinished jobs: %v", w.DescribeUnfinished())
 	})
 }
 
-// shortFleetHistory plays a history in which six seconds ask for more than twice the fleet.
+// shortFleetHistory runs a history with more than twice the fleet's demand for six seconds.
 func shortFleetHistory(seed uint64) *mfemulate.World {
 	r := rand.New(rand.NewPCG(seed, 6))
 	return newHistory(seed, historyOptions{
--- a/mfemulate/stats.go
+++ b/mfemulate/stats.go
@@ -11,15 +11,15 @@
 	"mothferry/mfjob"
 )
 
-// A job's worth: a part of its own, and a part by its work against the mean of
-// its queue, up to some times as much.
+// A job's weight is baseWeight plus workWeight times its work relative to the mean of its
+// queue, at most maxWeight.
 const (
 	baseWeight = 0.3
 	workWeight = 0.7
 	maxWeight  = 4
 )
 
-// jobResult is one job's end.
+// jobResult is the work of one job and whether it finished on time.
 type jobResult struct {
 	work   float64
 	onTime bool
@@ -34,13 +34,14 @@
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
 		c := w.jobs[id]
 		if c.submission.Lasts() || !c.cancelled.IsZero() || c.crashingTask != nil {
-			// Of a job that can't be done nobody expects anything.
+			// Jobs with a crashing task cannot complete and are not counted, like cancelled
+			// and lasting ones.
 			continue
 		}
 		f.Jobs++
-		inTime := f.countJob(c, w.objective(c))
+		onTime := f.countJob(c, w.objective(c))
 		q := c.submission.Queue
-		byQueue[q] = append(byQueue[q], jobResult{work: c.work(), onTime: inTime})
+		byQueue[q] = append(byQueue[q], jobResult{work: c.work(), onTime: onTime})
 	}
 	f.scoreQueues(byQueue)
 	return f
@@ -51,18 +52,18 @@
 	return mfjob.Objective(q.Stretch, q.Latency, c.criticalPath())
 }
 
-// countJob counts one job and reports whether it was in time.
-func (f *Stats) countJob(c *jobRecord, aim time.Duration) bool {
+// countJob counts one job and reports whether it was on time.
+func (f *Stats) countJob(c *jobRecord, objective time.Duration) bool {
 	took := c.completed.Sub(c.submission.Accepted)
 	switch {
 	case c.state == mfjob.StateFailed:
 		f.Failed++
 	case c.state != mfjob.StateCompleted:
 		f.TooLate++
-	case took <= aim:
+	case took <= objective:
 		f.OnTime++
 		return true
-	case took <= mfjob.TooLateFactor*aim:
+	case took <= mfjob.TooLateFactor*objective:
 		f.Late++
 	default:
 		f.TooLate++
@@ -80,52 +81,52 @@
 }
 
 func (f *Stats) scoreQueues(byQueue map[mothferry.QueueID][]jobResult) {
-	owed, earned, wide, wideInTime := 0.0, 0.0, 0, 0
+	totalWeight, onTimeWeight, largest, largestOnTime := 0.0, 0.0, 0, 0
 	f.OnTimeByQueue = map[mothferry.QueueID]float64{}
 	for _, q := range slices.Sorted(maps.Keys(byQueue)) {
 		jobs := byQueue[q]
 		slices.SortFunc(jobs, func(a, b jobResult) int { return cmp.Compare(b.work, a.work) })
-		mean, queueInTime := 0.0, 0
+		mean, queueOnTime := 0.0, 0
 		for _, j := range jobs {
 			if j.onTime {
-				queueInTime++
+				queueOnTime++
 			}
 			mean += j.work / float64(len(jobs))
 		}
-		f.OnTimeByQueue[q] = float64(queueInTime) / float64(len(jobs))
+		f.OnTimeByQueue[q] = float64(queueOnTime) / float64(len(jobs))
 		for i, j := range jobs {
-			worth := min(maxWeight, baseWeight+workWeight*j.work/mean)
-			owed += worth
+			weight := min(maxWeight, baseWeight+workWeight*j.work/mean)
+			totalWeight += weight
 			if j.onTime {
-				earned += worth
+				onTimeWeight += weight
 			}
 			if i < (len(jobs)+9)/10 {
-				wide++
+				largest++
 				if j.onTime {
-					wideInTime++
+					largestOnTime++
 				}
 			}
 		}
 	}
-	if owed > 0 {
-		f.WeightedOnTime = earned / owed
+	if totalWeight > 0 {
+		f.WeightedOnTime = onTimeWeight / totalWeight
 	}
-	if wide > 0 {
-		f.LargestOnTime = float64(wideInTime) / float64(wide)
+	if largest > 0 {
+		f.LargestOnTime = float64(largestOnTime) / float64(largest)
 	}
 }
 
-// OnTimeFraction returns the part of an account's jobs that were completed in time.
+// OnTimeFraction returns the fraction of an account's jobs that completed on time.
 func (w *World) OnTimeFraction(account mothferry.AccountID) float64 {
-	jobs, inTime := 0, 0
+	jobs, onTime := 0, 0
 	for _, c := range w.jobs {
 		if c.submission.Account != account {
 			continue
 		}
 		jobs++
 		if c.state == mfjob.StateCompleted && c.completed.Sub(c.submission.Accepted) <= w.objective(c) {
-			inTime++
+			onTime++
 		}
 	}
-	return float64(inTime) / float64(max(1, jobs))
+	return float64(onTime) / float64(max(1, jobs))
 }
--- a/mfemulate/store.go
+++ b/mfemulate/store.go
@@ -11,18 +11,18 @@
 	"mothferry/mfsched"
 )
 
-// maxTxnRows is how many rows one transaction of the store writes at most.
+// maxTxnRows is the largest number of rows that one transaction of the store may write.
 const maxTxnRows = 100
 
-// restore rewrites the head of the shard for a new owner, which keeps earlier ones from
-// storing anything more, and reads what they have stored.
+// restore rewrites the head of the shard for a new owner, which fences previous owners off
+// from the store, and returns their stored progress.
 func (o *owner) restore() map[mothferry.JobID]mfjob.Progress {
 	w := o.world
 	for _, r := range w.storedRows(mfrecord.TableOwner) {
 		o.headVersion = r.Version
 	}
 	if !o.writeHead(nil) {
-		w.violation("the head can't be rewritten")
+		w.violation("rewrite head: the shard has another owner")
 	}
 	log := w.storedRows(mfrecord.TableLog)
 	if len(log) == 0 {
@@ -30,7 +30,7 @@
 	}
 	newest, journal, err := mfjournal.Read(w.storedRows(mfrecord.TableProgress), log)
 	if err != nil {
-		w.violation("the shard can't be read: %v", err)
+		w.violation("restore shard: %v", err)
 	}
 	o.journal = journal
 	return newest
@@ -40,13 +40,13 @@
 func (w *World) storedRows(table mothferry.TableID) []mothferry.Row {
 	page, err := w.rows.Range(context.Background(), mothferry.RowRange{Table: table, Part: mfrecord.PartShard})
 	if err != nil {
-		w.violation("table %s can't be read: %v", table, err)
+		w.violation("read table %s: %v", table, err)
 	}
 	return page.Rows
 }
 
-// writeHead rewrites the head together with other rows. It reports whether the shard is still
-// this owner's.
+// writeHead rewrites the head together with other rows. It reports whether this owner still
+// owns the shard.
 func (o *owner) writeHead(rows []mothferry.Write) bool {
 	w := o.world
 	txn := mothferry.Txn{
@@ -54,7 +54,7 @@
 		Writes: append([]mothferry.Write{{Table: mfrecord.TableOwner, Part: mfrecord.PartShard, Key: mfrecord.KeyHead, Value: o.encodeHead()}}, rows...),
 	}
 	if len(txn.Writes) > maxTxnRows {
-		w.violation("a transaction has %d entries", len(txn.Writes))
+		w.violation("a transaction writes %d rows", len(txn.Writes))
 	}
 	version, err := w.rows.Commit(context.Background(), txn)
 	if err != nil {
@@ -66,11 +66,11 @@
 	return true
 }
 
-// commit stores progress if the shard is still this owner's.
+// commit stores progress if this owner still owns the shard.
 func (o *owner) commit(c mfsched.Commit, rows []mothferry.Write) {
 	w := o.world
 	if o.partitioned {
-		// No answer: the owner goes on asking, in vain.
+		// The owner gets no answer and retries in vain.
 		return
 	}
 	if !o.writeHead(rows) {
@@ -87,7 +87,8 @@
 	w.after(delay, func() { o.do(func() { o.step(mfsched.CommitDone{Number: c.Number}) }) })
 }
 
-// recordStoredStates takes in what callers can read from now on: the jobs' own rows.
+// recordStoredStates records the job states that callers can read after a commit: those in the
+// jobs' own rows.
 func (w *World) recordStoredStates(rows []mothferry.Write) {
 	for _, r := range rows {
 		if r.Table != mfrecord.TableProgress {
@@ -95,7 +96,7 @@
 		}
 		p, err := mfjob.DecodeProgress(r.Value)
 		if err != nil {
-			w.violation("job %s can't be read: %v", r.Key, err)
+			w.violation("decode progress of job %s: %v", r.Key, err)
 			continue
 		}
 		w.recordState(mothferry.JobID(r.Key), p.State)
--- a/mfemulate/worker.go
+++ b/mfemulate/worker.go
@@ -10,28 +10,28 @@
 	"mothferry/mfsched"
 )
 
-// worker is one life of a worker, as the platform promises it to behave.
+// worker is one incarnation of a worker that behaves as the platform specifies.
 type worker struct {
 	world   *World
 	listing mfsched.Worker
 	machine *machine
-	// ended says that this life has ended; silent that nothing reaches it.
+	// ended is set once the incarnation has ended, unreachable while no call reaches it.
 	ended       bool
 	unreachable bool
-	// unreachableUntil is when the last silence ended or is to end.
+	// unreachableUntil is the end of the last partition.
 	unreachableUntil time.Time
-	// startedAt is when it started: its clock begins then.
+	// startedAt is when the worker started, at which its clock begins.
 	startedAt time.Time
-	// clockRate of its clock against true time, at most 2% slow.
+	// clockRate is the rate of its clock relative to simulated time, at most 2% slow.
 	clockRate   float64
 	epoch       mothferry.Epoch
 	leaseUntil  mothferry.WorkerClock
 	leaseNumber int
 	running     map[mothferry.TaskName]*run
-	// pace is how much of a task's time it gets done in that time, hangs the part of the
-	// tasks that hang.
+	// pace is the speed at which it executes tasks, 1 being normal; hangFraction is the
+	// fraction of the tasks that hang.
 	pace, hangFraction float64
-	// highestRuns holds the highest run of each task that ended or was stopped here.
+	// highestRuns holds the highest run number of each task that ended or was stopped here.
 	highestRuns  map[mothferry.TaskName]mothferry.RunNumber
 	ends         []mothferry.EndedTask
 	lastEnd      mothferry.EndNumber
@@ -45,17 +45,18 @@
 	startedAt time.Time
 	duration  time.Duration
 	fails     bool
-	// workAtPaceChange is the work that was done at since, when the worker's pace last changed;
-	// paced counts those changes.
+	// workAtPaceChange is the work done at paceChangedAt, when the worker's pace last changed;
+	// paceChanges counts those changes.
 	workAtPaceChange time.Duration
 	paceChangedAt    time.Time
 	paceChanges      int
-	// hung says that it never gets anything done.
+	// hung is set if the run never makes progress.
 	hung     bool
 	stopping bool
-	// endedByOrder says that an order ends it, or a lease that lapsed without a fault near.
+	// endedByOrder is set if an order ends the run, or a lease that expired without a recent
+	// fault.
 	endedByOrder bool
-	// ended marks a run that is over, for events that are still to come.
+	// ended is set once the run has ended; pending events check it.
 	ended bool
 }
 
@@ -70,7 +71,7 @@
 	return mothferry.WorkerClock(float64(o.world.now.Sub(o.startedAt))*o.clockRate) + mothferry.WorkerClock(time.Second)
 }
 
-// extendLease lengthens the lease of all that runs.
+// extendLease extends the one lease of all runs.
 func (o *worker) extendLease(until mothferry.WorkerClock) {
 	until = min(until, o.clock()+mothferry.WorkerClock(o.world.Limits.MaxLease))
 	if until <= o.leaseUntil {
@@ -90,7 +91,7 @@
 func (o *worker) endAll(cause mothferry.EndCause) {
 	for _, name := range o.runningTasks() {
 		if cause == mothferry.EndLeaseExpired && !o.world.recentFault(o) {
-			o.world.endByOrder(o, name, "lease that lapsed")
+			o.world.endByOrder(o, name, "lease expiry")
 		}
 		o.end(name, cause)
 	}
@@ -107,7 +108,7 @@
 	return names
 }
 
-// end ends a run and lists that.
+// end ends a run and adds it to the listed ends.
 func (o *worker) end(name mothferry.TaskName, cause mothferry.EndCause) {
 	o.world.recordLastServing(o, name)
 	r := o.running[name]
@@ -137,7 +138,7 @@
 	l.answer(o.report())
 }
 
-// breakPolls has the connections end on which looks wait.
+// breakPolls breaks the connections of the waiting polls.
 func (o *worker) breakPolls() {
 	for _, l := range o.waitingPolls {
 		if !l.done && !o.unreachable {
@@ -158,7 +159,8 @@
 	return report
 }
 
-// paceOf returns a run's pace: lasting tasks are at work as soon on a slow worker.
+// paceOf returns a run's pace. Lasting tasks start to serve as soon on a slow worker as on
+// others.
 func (o *worker) paceOf(r *run) float64 {
 	if r.step.Lasting {
 		return 1
@@ -166,7 +168,7 @@
 	return o.pace
 }
 
-// poll carries a look out.
+// poll executes a poll.
 func (o *worker) poll(order mothferry.PollOrder, answer func(mothferry.PollReport), broken func()) error {
 	if order.Epoch < o.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// start carries an order to start out.
+// start executes an order to start a run.
 func (o *worker) start(order mothferry.StartOrder) error {
 	if order.Epoch < o.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
@@ -198,7 +200,7 @@
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalLate}
 	}
 	o.extendLease(order.Until)
-	if r, there := o.running[order.Task]; there && r.number == order.Run {
+	if r, running := o.running[order.Task]; running && r.number == order.Run {
 		return nil
 	}
 	if order.Run <= o.highestRuns[order.Task] {
@@ -209,8 +211,8 @@
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalCapacity}
 	}
 	o.world.checkStart(o, order)
-	takes := o.world.drawDuration(order.Task, step)
-	r := &run{number: order.Run, step: step, startedAt: o.world.now, paceChangedAt: o.world.now, duration: takes, fails: o.world.chance(o.world.Faults.FailTask)}
+	duration := o.world.drawDuration(order.Task, step)
+	r := &run{number: order.Run, step: step, startedAt: o.world.now, paceChangedAt: o.world.now, duration: duration, fails: o.world.chance(o.world.Faults.FailTask)}
 	r.hung = !step.Lasting && o.world.chance(o.hangFraction)
 	o.running[order.Task] = r
 	o.world.scheduleCrash(o, order.Task)
@@ -222,7 +224,7 @@
 	return nil
 }
 
-// scheduleFailure has a lasting run fail by itself, if any do.
+// scheduleFailure schedules the failure of a lasting run, if MeanLastingTime is set.
 func (w *World) scheduleFailure(o *worker, name mothferry.TaskName, r *run) {
 	if w.Faults.MeanLastingTime > 0 {
 		r.fails = true
@@ -250,15 +252,16 @@
 	return step.Reservation().Fits(o.listing.Capacity.Sub(used))
 }
 
-// stop carries an order to stop out. A run that is not there is refused later.
+// stop executes an order to stop a run. If the run is not here, its start is refused from now
+// on.
 func (o *worker) stop(name mothferry.TaskName, number mothferry.RunNumber, epoch mothferry.Epoch) error {
 	if epoch < o.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
 	}
 	o.epoch = epoch
 	o.highestRuns[name] = max(o.highestRuns[name], number)
-	r, there := o.running[name]
-	if !there || r.number != number || r.stopping {
+	r, running := o.running[name]
+	if !running || r.number != number || r.stopping {
 		return nil
 	}
 	o.world.endByOrder(o, name, "stop")
@@ -271,39 +274,39 @@
 	return nil
 }
 
-// checkStart watches what must never happen when a run begins.
+// checkStart reports each invariant that the start of a run violates.
 func (w *World) checkStart(o *worker, order mothferry.StartOrder) {
 	c := w.jobs[order.Task.Job]
 	step := c.submission.Steps[order.Task.Step]
-	beside := map[*worker]bool{}
+	runningOn := map[*worker]bool{}
 	for _, other := range w.startedOn[order.Task] {
-		if r, there := other.running[order.Task]; there && !other.ended {
-			if beside[other] = true; step.Speculative && len(beside) < maxRunsPerTask && other != o {
+		if r, running := other.running[order.Task]; running && !other.ended {
+			if runningOn[other] = true; step.Speculative && len(runningOn) < maxRunsPerTask && other != o {
 				continue
 			}
-			w.violation("task %v run %d starts on %s while run %d is on %s", order.Task, order.Run, o.listing.At.Worker, r.number, other.listing.At.Worker)
+			w.violation("task %v run %d starts on %s while run %d runs on %s", order.Task, order.Run, o.listing.At.Worker, r.number, other.listing.At.Worker)
 		}
 	}
 	if !slices.Contains(w.startedOn[order.Task], o) {
 		w.startedOn[order.Task] = append(w.startedOn[order.Task], o)
 	}
-	// The same holds for a start that was sent when the lease of an earlier run
-	// had lapsed, and whose worker carries it out after that run turned out done.
+	// A late order may also start a run after an earlier one turned out done: it was sent when
+	// the earlier run's lease had expired.
 	if !w.lateOrder && c.done[order.Task] && !step.Lasting && w.storedAsDone(order.Task) && !(step.Speculative && w.now.Sub(c.doneAt[order.Task]) < copyStartGrace) {
 		w.violation("task %v run %d starts after it was done", order.Task, order.Run)
 	}
 	w.checkAccount(c, &step)
 	for _, a := range step.After {
 		for x := range c.submission.Steps[a].Count {
-			before := order.Task
-			before.Step, before.Index = a, x
-			if !c.done[before] {
-				w.violation("task %v starts before %v is done", order.Task, before)
+			dependency := order.Task
+			dependency.Step, dependency.Index = a, x
+			if !c.done[dependency] {
+				w.violation("task %v starts before %v is done", order.Task, dependency)
 			}
 		}
 	}
-	// No owner can keep a worker from carrying out late what it took before the
-	// cancel, if the order to stop was lost as well: then only the lease bounds it.
+	// No owner can prevent a worker from executing late an order that it received before the
+	// cancel, if the order to stop is lost too. Only the lease bounds that.
 	if !w.lateOrder && !c.cancelled.IsZero() && w.now.Sub(c.cancelled) > cancelGrace {
 		w.violation("task %v starts %v after its job was cancelled", order.Task, w.now.Sub(c.cancelled))
 	}
@@ -312,15 +315,15 @@
 const (
 	// maxRunsPerTask is how many runs a task of a speculative step may have at the same time.
 	maxRunsPerTask = 2
-	// copyStartGrace is how long after the end of a task's run the start of its copy may come.
+	// copyStartGrace is how long after the end of a task's run its copy may still start.
 	copyStartGrace = time.Second
 )
 
-// cancelGrace is how long after a cancel tasks may still start: the owner
-// hears of it within a fraction of a second, but a late order may be under way.
+// cancelGrace is how long after a cancel tasks may still start: the owner learns of it within
+// a fraction of a second, but an order may still be in flight.
 const cancelGrace = 3 * time.Second
 
-// storedAsDone reports whether the store knows that a task is done.
+// storedAsDone reports whether a task is stored as done.
 func (w *World) storedAsDone(name mothferry.TaskName) bool {
 	p, ok := w.committed[name.Job]
 	if !ok || name.Occurrence >= len(p.Occurrences) {
--- a/mfemulate/world.go
+++ b/mfemulate/world.go
@@ -1,14 +1,14 @@
-// Package mfemulate is a model of what mothferry serves: a store, workers,
-// machines and callers, in simulated time. The real decisions (mfsched,
-// mfduty) run against it, so that a change of policy is measured in a second
-// and thousands of seeded histories of faults are played in a test.
+// Package mfemulate is a discrete-event simulation of what mothferry works with: a store,
+// workers, machines and callers. The production decision code (mfsched, mfduty) runs against
+// it, so that a change of policy is evaluated in about a second and tests run thousands of
+// seeded fault histories.
 //
-// Owners store progress in rows and read it as the real owner does (mfjournal).
+// Owners store progress in rows and read it as the production owner does (mfjournal).
 //
-// The model keeps to what the platform promises of workers: fencing by epoch,
-// leases by the worker's own clock, ends that are listed until they are noted,
-// orders that are lost, answered late, or carried out late. A checker watches
-// every start and each end by an order; what it finds is a fault of the decisions.
+// The simulated workers behave as the platform specifies: fencing by epoch, leases by the
+// worker's own clock, ends that are listed until they are acknowledged, and orders that are
+// lost, answered late or executed late. A checker examines every start and every end by an
+// order; a violation that it finds is a fault of the decision code.
 package mfemulate
 
 import (
@@ -26,37 +26,37 @@
 // StartTime is when simulated time begins.
 var StartTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Faults are how often things go wrong, as probabilities of one call.
+// Faults are the probabilities of faults for one call, run or job, with their times.
 type Faults struct {
-	// LoseOrder: the order never arrives. LoseAnswer: it is carried out, and
-	// the answer is lost. LateOrder: it has no answer and is carried out up to
-	// LateBy later; this holds for looks too.
+	// LoseOrder: the order never arrives. LoseAnswer: the order is executed and its answer is
+	// lost. LateOrder: the order gets no answer and is executed up to LateBy later; this
+	// applies to polls too.
 	LoseOrder  float64
 	LoseAnswer float64
 	LateOrder  float64
 	LateBy     time.Duration
-	// LoseCommitAnswer: a commit's answer is lost, and the owner has to ask again.
+	// LoseCommitAnswer: the answer of a commit is lost, and the owner has to ask again.
 	LoseCommitAnswer float64
 	// FailTask: a run fails.
 	FailTask float64
-	// CrashJob: one task of a job ends each worker that starts it, CrashAfter later. The
-	// worker is back CrashDown after that.
+	// CrashJob: one task of a job crashes each worker that starts it, CrashAfter later. The
+	// worker restarts CrashDown after that.
 	CrashJob   float64
 	CrashAfter time.Duration
 	CrashDown  time.Duration
-	// MeanLastingTime is for how long a lasting run goes on, in the mean, before it fails by itself;
-	// zero for ever.
+	// MeanLastingTime is the mean time after which a lasting run fails by itself; zero for
+	// never.
 	MeanLastingTime time.Duration
-	// ReuseID: a worker starts again under the id that it had.
+	// ReuseID: a restarted worker has the same id as before.
 	ReuseID float64
 }
 
-// affectCalls reports whether calls may go wrong.
+// affectCalls reports whether calls may be lost or late.
 func (f Faults) affectCalls() bool {
 	return f.LoseOrder > 0 || f.LoseAnswer > 0 || f.LateOrder > 0 || f.LoseCommitAnswer > 0
 }
 
-// Times of the model, as the platform's pages and bench days show them.
+// These delays follow the platform's documentation and measurements on its test bench.
 const (
 	orderDelay      = 1500 * time.Microsecond
 	commitDelay     = 6 * time.Millisecond
@@ -70,21 +70,21 @@
 	sampleInterval  = 500 * time.Millisecond
 )
 
-// World is the whole model. The exported fields are set before Run.
+// World is the state of the simulation. The exported fields are set before Run.
 type World struct {
 	Limits mfsched.Limits
 	Faults Faults
 	Random *rand.Rand
 	Queues map[mothferry.QueueID]mfsched.Queue
-	// Accounts are the client accounts; SetAccounts changes them while the world runs.
+	// Accounts are the client accounts; SetAccounts changes them during the simulation.
 	Accounts map[mothferry.AccountID]mfsched.Account
 	// Standby holds the pools whose machines are off.
 	Standby map[mothferry.ServiceID]bool
 	// Off holds the features that are switched off.
 	Off mothferry.FeaturesOff
-	// Estimates say how far off estimates of tasks are.
+	// Estimates are the errors of the tasks' estimates.
 	Estimates EstimateErrors
-	// Moves says that duties run: machines move between pools.
+	// Moves lets the owner move machines between pools.
 	Moves bool
 
 	now      time.Time
@@ -94,83 +94,85 @@
 	epoch    mothferry.Epoch
 	// rows is the store.
 	rows mfstandin.Rows
-	// committed is what was last stored of each job. It is for the checks alone: owners
-	// read the rows.
+	// committed is the last stored progress of each job. Only checks use it: owners read the
+	// rows.
 	committed map[mothferry.JobID]mfjob.Progress
 	jobs      map[mothferry.JobID]*jobRecord
 	jobOrder  []mothferry.JobID
 	workers   map[mothferry.WorkerID]*worker
-	// startedOn holds the workers that ever began a task.
+	// startedOn holds all workers that ever started a task.
 	startedOn    map[mothferry.TaskName][]*worker
 	machines     []*machine
 	waves        map[mothferry.WaveID]*wave
 	hosts        []*host
 	accountStats map[mothferry.AccountID]*AccountStats
-	// submissions numbers what callers ask for.
+	// submissions counts the jobs submitted at hosts, for their ids.
 	submissions    int
 	workersStarted int
-	// queueErrors is by what factor the estimates of each queue are off.
+	// queueErrors holds the common factor of all task times of each queue, relative to their
+	// estimates.
 	queueErrors map[mothferry.QueueID]float64
-	// taskTexts holds the texts of printed.
+	// taskTexts caches the results of taskText.
 	taskTexts map[mothferry.TaskName]string
-	// limits holds what each account may have running by any config that may be in force.
+	// limits holds the limit of each account, the highest of all configs that may be in force.
 	limits map[mothferry.AccountID]mothferry.Resources
-	// lateOrderLimits holds the limits at the moment when the order was sent that is carried out late.
+	// lateOrderLimits holds the limits at the time when the late order was sent.
 	lateOrderLimits map[mothferry.AccountID]mothferry.Resources
 	// accountChanges counts the changes of the accounts.
 	accountChanges int
-	// faultUntilTime is until when a fault acts on owners.
+	// faultUntilTime is the time until which a fault may affect owners.
 	faultUntilTime time.Time
-	// lateOrder says that an order is carried out that its worker has held back.
+	// lateOrder is set while a worker executes an order late.
 	lateOrder bool
-	// Stats is filled while the world runs.
+	// Stats is filled during the simulation.
 	Stats Stats
-	// OnDecision is told of each decision that the owner logs; it may be nil.
+	// OnDecision is called with each decision that the owner logs; it may be nil.
 	OnDecision func(at time.Duration, d mfsched.Decision)
-	// Violations holds what the checker found.
+	// Violations holds the violated invariants.
 	Violations []string
 }
 
-// jobRecord is what the model knows of one job.
+// jobRecord is the simulated state of one job.
 type jobRecord struct {
 	id         mothferry.JobID
 	submission mfjob.Submission
 	cancelled  time.Time
 	completed  time.Time
 	state      mfjob.State
-	// submissionDeleted says that what was handed in is deleted.
+	// submissionDeleted is set once the submission is deleted.
 	submissionDeleted bool
-	// lastServing tells how lasting tasks were last at work that are away.
+	// lastServing holds when the lasting tasks that are unavailable last served.
 	lastServing map[mothferry.TaskName]lastServing
-	// done holds tasks of which a run has done its work.
+	// done holds the tasks of which a run has completed.
 	done map[mothferry.TaskName]bool
-	// doneAt is when the first of them did.
+	// doneAt is when the first of these runs completed.
 	doneAt map[mothferry.TaskName]time.Time
-	// taskDurations holds how long each task takes; nil if that is drawn for each run.
+	// taskDurations holds the time of each task; nil if it is drawn for each run.
 	taskDurations map[mothferry.TaskName]time.Duration
-	// crashingTask is the task that ends each worker that starts it, if there is one.
+	// crashingTask is the task that crashes each worker that starts it, or nil.
 	crashingTask *mothferry.TaskName
-	// crashes counts the workers that have crashed while a task ran there, failures the
-	// runs of a task that ended failed.
+	// crashes counts the workers that crashed while they ran a task, failures the failed runs
+	// of a task.
 	crashes, failures map[mothferry.TaskName]int
 	// crashRestarts counts the starts of the crashing task after crashBudget crashes.
 	crashRestarts int
-	// crashingTaskStartedAt is when the crashing task of a lasting job was last started.
+	// crashingTaskStartedAt is the last start of a lasting job's crashing task.
 	crashingTaskStartedAt time.Time
 }
 
-// Stats are what a run of the model measured.
+// Stats are the statistics of a simulation.
 type Stats struct {
 	Jobs    int
 	OnTime  int
 	Late    int
 	TooLate int
 	Failed  int
-	// WeightedOnTime is the part of the jobs' worth that was in time, by their work; Wide
-	// the part in time of the largest tenth of each queue's jobs.
+	// WeightedOnTime is the on-time fraction of the jobs, weighted by their work;
+	// LargestOnTime is the on-time fraction of the tenth of each queue's jobs with the most
+	// work.
 	WeightedOnTime float64
 	LargestOnTime  float64
-	// OnTimeByQueue holds the part in time of each queue's jobs.
+	// OnTimeByQueue holds the on-time fraction of each queue's jobs.
 	OnTimeByQueue map[mothferry.QueueID]float64
 	Moves         int
 	Maintenances  int
@@ -180,22 +182,23 @@
 	Commits       int
 	Refused       int
 	Takeovers     int
-	// EmptyLogs counts the takeovers that found no row in the log of progress.
+	// EmptyLogs counts the takeovers that found no row in the progress log.
 	EmptyLogs int
-	// CrashingJobs counts the jobs that have a task that ends its workers, Crashes the
-	// workers that ended so, Blameless the jobs shown as failed without such a task.
+	// CrashingJobs counts the jobs that have a crashing task, Crashes the workers that such
+	// tasks crashed, and UnrelatedFailures the jobs without such a task that are stored as
+	// failed.
 	CrashingJobs      int
 	Crashes           int
 	UnrelatedFailures int
-	// Violations counts what the checker found.
+	// Violations counts the violated invariants.
 	Violations int
-	// MachineSeconds is the time of machines in pools that are not on standby.
+	// MachineSeconds is the total time of machines in pools that are not on standby.
 	MachineSeconds float64
-	// Series holds a point each half second, for a plot.
+	// Series holds a sample each half second, for a plot.
 	Series []Point
 }
 
-// Point is the state of the world at one moment.
+// Point is one sample of the simulation.
 type Point struct {
 	At       time.Duration
 	Running  int
@@ -203,7 +206,7 @@
 	Machines map[mothferry.ServiceID]int
 }
 
-// event is something that happens at a time.
+// event is a function to be run at a simulated time.
 type event struct {
 	at       time.Time
 	sequence int
@@ -237,7 +240,7 @@
 	return last
 }
 
-// Begin prepares the world. Its first owner takes over at once.
+// Begin initializes the world. The first owner takes over without delay.
 func (w *World) Begin() {
 	w.now = StartTime
 	w.committed = map[mothferry.JobID]mfjob.Progress{}
@@ -256,7 +259,8 @@
 	w.every(sampleInterval, w.sample)
 }
 
-// taskText returns the text of a name by which runs are ordered; each is printed once.
+// taskText returns a task's name as text, by which runs are sorted; the text is formatted
+// once.
 func (w *World) taskText(name mothferry.TaskName) string {
 	text, known := w.taskTexts[name]
 	if !known {
@@ -266,10 +270,10 @@
 	return text
 }
 
-// Now returns the simulated time since the beginning.
+// Now returns the simulated time since StartTime.
 func (w *World) Now() time.Duration { return w.now.Sub(StartTime) }
 
-// At has f run at a time since the beginning.
+// At schedules f at a time since StartTime.
 func (w *World) At(d time.Duration, f func()) { w.at(StartTime.Add(d), f) }
 
 func (w *World) at(t time.Time, f func()) {
@@ -286,7 +290,7 @@
 	})
 }
 
-// Run lets the world go on until a time since its beginning.
+// Run runs the simulation until a time since StartTime.
 func (w *World) Run(until time.Duration) {
 	end := StartTime.Add(until)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -303,7 +307,8 @@
 	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, values...))
 }
 
-// sample takes a point for the plot, counts machine time and notes faults of calls.
+// sample adds a point to the series, accumulates machine time and extends the fault period
+// while calls may be lost.
 func (w *World) sample() {
 	if w.Faults.affectCalls() {
 		w.extendFault(w.now.Add(sampleInterval))
--- a/mfexample/example.go
+++ b/mfexample/example.go
@@ -1,5 +1,5 @@
-// Package mfexample holds the example documents of the project's two first
-// users, for the demo, the tests and newcomers.
+// Package mfexample holds example documents of two user teams and load files, for the demo,
+// the tests and new users.
 package mfexample
 
 import (
@@ -46,54 +46,53 @@
 	return documents, nil
 }
 
-// Turns is a load file of pools whose demand comes in turns.
+// Turns is a load file of pools whose demand peaks in turn.
 //
 //go:embed loads/turns.yaml
 var Turns []byte
 
-// Humps is a load file of many machines whose pools' demand rises and falls
-// smoothly.
+// Humps is a load file of many machines whose pools' demand rises and falls smoothly.
 //
 //go:embed loads/humps.yaml
 var Humps []byte
 
-// Late is the load of Humps while a twentieth of all orders and looks is lost or late.
+// Late is the load of Humps while a twentieth of all orders and polls is lost or late.
 //
 //go:embed loads/late.yaml
 var Late []byte
 
-// Crashing is the load of Turns while some jobs have a task that ends its workers.
+// Crashing is the load of Turns while some jobs have a task that crashes its workers.
 //
 //go:embed loads/crashing.yaml
 var Crashing []byte
 
-// Accounts is a load of client accounts, one of which sends far more than its share.
+// Accounts is a load file of client accounts, one of which sends far more than its share.
 //
 //go:embed loads/accounts.yaml
 var Accounts []byte
 
-// Memory is a load file of a queue whose tasks fill the machines' memory before their
+// Memory is a load file of a queue whose tasks exhaust the machines' memory before their
 // cores.
 //
 //go:embed loads/memory.yaml
 var Memory []byte
 
-// ShortTurn is a load file of turns each of which asks for more than the fleet.
+// ShortTurn is a load file of demand peaks that each exceed the fleet.
 //
 //go:embed loads/short_turn.yaml
 var ShortTurn []byte
 
-// ShortLasting is a load file that asks for more than the fleet all the time.
+// ShortLasting is a load file whose demand exceeds the fleet all the time.
 //
 //go:embed loads/short_lasting.yaml
 var ShortLasting []byte
 
-// Overlap is a load file of turns that begin before the last one is over.
+// Overlap is a load file of demand peaks that begin before the previous one ends.
 //
 //go:embed loads/overlap.yaml
 var Overlap []byte
 
-// Slow is a load file in which a quarter of a pool's workers turns slow.
+// Slow is a load file in which a quarter of each pool's workers becomes slow.
 //
 //go:embed loads/slow.yaml
 var Slow []byte
--- a/mffake/fake.go
+++ b/mffake/fake.go
@@ -1,6 +1,5 @@
-// Package mffake holds small fakes of the root package's interfaces for
-// tests: a clock that moves only when told to, and a table that fails as a
-// real one would.
+// Package mffake holds small fakes of the root package's interfaces for tests: a clock that is
+// advanced by the test, and a table that fails as a real one does.
 package mffake
 
 import (
@@ -13,7 +12,7 @@
 	"mothferry/mfstandin"
 )
 
-// Clock is a clock that moves only when told to.
+// Clock is a clock that only Advance moves.
 type Clock struct {
 	mutex  sync.Mutex
 	now    time.Time
@@ -25,7 +24,7 @@
 	channel chan time.Time
 }
 
-// NewClock returns a clock that stands at a fixed time.
+// NewClock returns a clock that shows a fixed time.
 func NewClock() *Clock {
 	return &Clock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 }
@@ -46,7 +45,7 @@
 	return channel
 }
 
-// Advance moves the clock and fires the timers that come due.
+// Advance moves the clock and fires the timers that become due.
 func (c *Clock) Advance(d time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,10 +74,10 @@
 	return c
 }
 
-// ErrFake is the cause of every failure that a Table makes.
+// ErrFake is the cause of every failure that a Table injects.
 var ErrFake = errors.New("fake failure")
 
-// Table is a table whose next calls can be made to fail.
+// Table is a table that can be made to fail.
 type Table struct {
 	*mfstandin.Table
 
@@ -101,21 +100,21 @@
 	t.down = down
 }
 
-// LoseReplies makes the next commits take effect and fail all the same.
+// LoseReplies makes the next n commits take effect and still fail.
 func (t *Table) LoseReplies(n int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.loseReplies = n
 }
 
-// LoseCalls makes the next commits fail without effect.
+// LoseCalls makes the next n commits fail without effect.
 func (t *Table) LoseCalls(n int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.loseCalls = n
 }
 
-// Commits returns how many commits were asked for.
+// Commits returns the number of commits so far, including failed ones.
 func (t *Table) Commits() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/mffake/property.go
+++ b/mffake/property.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// seedFlag is rapid's flag; 0, its default, means a seed taken from the clock.
+// seedFlag is rapid's flag. Its default, 0, means a seed taken from the clock.
 const (
 	seedFlag  = "rapid.seed"
 	fixedSeed = "20261202"
 )
 
-// Check checks a property with a fixed seed, so that each run of the tests
-// gives the same verdict. Another seed can be given with -rapid.seed.
+// Check checks a property with a fixed seed, so that each run of the tests has the same
+// result. The flag -rapid.seed sets another seed.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	if flag.Lookup(seedFlag).Value.String() == "0" {
--- a/mffake/subnet.go
+++ b/mffake/subnet.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// subnetLockPort is the port that holds a subnet; no deployment listens there.
+// subnetLockPort is the port that reserves a subnet; no deployment listens there.
 const subnetLockPort = 7399
 
-// ClaimSubnet returns the first three numbers of a loopback subnet, such as
-// "127.3.7", that belongs to this test until it ends. Test runs beside each other
-// on one machine would otherwise meet each other's ports.
+// ClaimSubnet returns the first three numbers of a loopback subnet, such as "127.3.7", that is
+// reserved for this test until it ends. Concurrent test runs on one machine would otherwise
+// use the same ports.
 func ClaimSubnet(t testing.TB) string {
 	t.Helper()
 	const tries = 1000
--- a/mfstandin/faultystore.go
+++ b/mfstandin/faultystore.go
@@ -9,20 +9,20 @@
 	"mothferry"
 )
 
-// StoreFault is what a store does to one host.
+// StoreFault is the fault that a FaultyStore injects into a host's calls.
 type StoreFault int
 
-// Faults of a gate.
+// A healthy store passes every call on; the other faults fail all of the host's calls.
 const (
 	StoreOK StoreFault = iota
-	// StoreBusy: calls are declined.
+	// StoreBusy declines calls.
 	StoreBusy
-	// StoreReset: calls end without an answer, and nothing is done.
+	// StoreReset ends calls without an answer and without effect.
 	StoreReset
-	// StoreTimeout: no answer comes for gateTimeout, and nothing is done.
+	// StoreTimeout gives no answer for storeCallTimeout; calls have no effect.
 	StoreTimeout
-	// StoreLate: as silent, and commits are carried out when Settle is called, if their
-	// checks hold then.
+	// StoreLate acts as StoreTimeout, but commits are executed when ApplyLate is called, if
+	// their checks hold then.
 	StoreLate
 )
 
@@ -31,7 +31,8 @@
 
 var errReset = errors.New("connection reset")
 
-// FaultyStore is the way of one host to a store that others are served by.
+// FaultyStore injects faults into one host's calls to a store that other hosts use without
+// faults.
 type FaultyStore struct {
 	Store mothferry.RowStore
 
@@ -40,21 +41,21 @@
 	late  []mothferry.Txn
 }
 
-// SetFault changes what the store does to the host.
+// SetFault sets the fault of all further calls.
 func (g *FaultyStore) SetFault(f StoreFault) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.fault = f
 }
 
-// ApplyLate carries out the commits that were late.
+// ApplyLate executes the commits that StoreLate held back.
 func (g *FaultyStore) ApplyLate(ctx context.Context) {
 	g.mutex.Lock()
 	late := g.late
 	g.late = nil
 	g.mutex.Unlock()
 	for _, txn := range late {
-		// Nobody waits for the outcome.
+		// The outcome is lost, as no caller waits any more.
 		_, _ = g.Store.Commit(ctx, txn)
 	}
 }
--- a/mfstandin/rows.go
+++ b/mfstandin/rows.go
@@ -10,15 +10,15 @@
 	"mothferry"
 )
 
-// Rows is an in-memory mothferry.RowStore with the faults that a real one has.
+// Rows is an in-memory mothferry.RowStore that can inject faults into commits.
 type Rows struct {
-	// Before is asked before each commit is carried out; nil for no faults.
+	// Before returns the fault of each commit before its execution; nil for no faults.
 	Before func(txn mothferry.Txn) CommitFault
 
 	mutex   sync.Mutex
 	rows    map[rowKey]mothferry.Row
 	changes []mothferry.Row
-	// historyFrom is the version from which on changes are kept.
+	// historyFrom is the lowest version from which Follow can continue.
 	historyFrom mothferry.Version
 	version     mothferry.Version
 	changed     chan struct{}
@@ -31,20 +31,20 @@
 	key   mothferry.Key
 }
 
-// CommitFault is what goes wrong with one commit.
+// CommitFault is the fault of one commit.
 type CommitFault int
 
-// Faults of commits.
+// CommitOK executes the commit normally; each other fault affects one commit.
 const (
 	CommitOK CommitFault = iota
-	// CommitDeclined: nothing is done, and the caller is told so.
+	// CommitDeclined has no effect, and the caller is told so.
 	CommitDeclined
-	// CommitUnanswered: it is done, and the answer is lost.
+	// CommitUnanswered takes effect, and the answer is lost.
 	CommitUnanswered
-	// CommitLost: nothing is done, and no answer comes.
+	// CommitLost has no effect, and no answer comes.
 	CommitLost
-	// CommitLate: no answer comes, and it is done when Settle is called, if its
-	// checks hold then.
+	// CommitLate gets no answer and takes effect when ApplyLate is called, if its checks hold
+	// then.
 	CommitLate
 )
 
@@ -73,19 +73,19 @@
 	return version, err
 }
 
-// SetBefore changes Before while the rows are in use.
+// SetBefore changes Before while the store is in use.
 func (r *Rows) SetBefore(before func(txn mothferry.Txn) CommitFault) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Before = before
 }
 
-// ApplyLate carries out the commits that were late.
+// ApplyLate executes the late commits.
 func (r *Rows) ApplyLate() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, txn := range r.late {
-		// Nobody waits for the outcome.
+		// The outcome is lost, as no caller waits any more.
 		_, _ = r.apply(txn)
 	}
 	r.late = nil
@@ -177,7 +177,8 @@
 	return page, r.changed, nil
 }
 
-// DropHistory drops the history of changes.
+// DropHistory drops the history of changes, so that Follow fails from the current version and
+// earlier ones.
 func (r *Rows) DropHistory() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/mfstandin/runner.go
+++ b/mfstandin/runner.go
@@ -15,21 +15,22 @@
 	"mothferry"
 )
 
-// RunnerFaults are the switches of one runner's stand-in.
+// RunnerFaults are the injected faults and settings of one runner.
 type RunnerFaults struct {
-	// Work is how long each request takes, unless it says so itself.
+	// Work is the processing time of requests that do not state their own.
 	Work time.Duration `json:"work"`
-	// CutAfter ends each answer's connection after this many bytes of its body; 0 means never.
+	// CutAfter closes the connection of each answer after this many bytes of its body; 0 means
+	// never.
 	CutAfter int `json:"cut_after"`
-	// DropAfterRun runs each request and then closes its connection unanswered.
+	// DropAfterRun processes each request and then closes its connection without an answer.
 	DropAfterRun bool `json:"drop_after_run"`
-	// Leaving refuses new requests, as a runner does that is being stopped.
+	// Leaving refuses new requests, like a runner that is being stopped.
 	Leaving bool `json:"leaving"`
-	// Dead closes the listener and all connections at once.
+	// Dead closes the listener and all connections.
 	Dead bool `json:"dead"`
 }
 
-// Run is one journal entry: a request that a runner began to work on.
+// Run is one journal entry: a request that a runner started to process.
 type Run struct {
 	Request  mothferry.RequestID  `json:"request"`
 	Key      string               `json:"key,omitempty"`
@@ -55,7 +56,7 @@
 	Faults         RunnerFaults        `json:"faults"`
 }
 
-// answer is what a runner replies: the request as it understood it.
+// answer is a runner's response: the request as the runner received it.
 type answer struct {
 	Request  mothferry.RequestID  `json:"request"`
 	Customer mothferry.CustomerID `json:"customer"`
@@ -69,24 +70,24 @@
 	Padding  string               `json:"padding,omitempty"`
 }
 
-// Query parameters with which a request states its own work and answer size.
+// A request states its own processing time and answer size in these query parameters.
 const (
 	paramWork = "work"
 	paramSize = "size"
 )
 
-// maxPadding bounds the answer size that a request may ask for.
+// maxPadding is the largest padding, in bytes, that a request may ask for.
 const maxPadding = 16 << 20
 
-// Runner is the stand-in of an upstream runner.
+// Runner is an in-process upstream runner.
 type Runner struct {
 	Task        mothferry.TaskID
 	Service     mothferry.ServiceID
 	Slots       mothferry.Slots
 	Connections mothferry.Connections
-	// Journal keeps the runs; it outlives the runner.
+	// Journal records the runs; it outlives the runner.
 	Journal *Journal
-	// Listener takes the runner's requests.
+	// Listener accepts the runner's connections.
 	Listener net.Listener
 
 	server *http.Server
@@ -95,7 +96,7 @@
 	status RunnerStatus
 }
 
-// Journal holds the runs of many runners.
+// Journal records the runs of many runners.
 type Journal struct {
 	mutex sync.Mutex
 	runs  []Run
@@ -115,7 +116,7 @@
 	return append([]Run{}, j.runs...)
 }
 
-// Start begins to serve and returns at once.
+// Start serves requests in the background.
 func (r *Runner) Start() {
 	r.done = make(chan struct{})
 	r.status = RunnerStatus{Runner: r.Task, Service: r.Service, Address: r.Listener.Addr().String()}
@@ -137,7 +138,7 @@
 	return r.status
 }
 
-// SetFaults sets the switches.
+// SetFaults sets the injected faults.
 func (r *Runner) SetFaults(f RunnerFaults) {
 	r.mutex.Lock()
 	r.status.Faults = f
@@ -147,7 +148,7 @@
 	}
 }
 
-// Stop refuses new requests, lets those in flight end and closes.
+// Stop refuses new requests, waits for those in flight and closes the runner.
 func (r *Runner) Stop(ctx context.Context) {
 	r.mutex.Lock()
 	r.status.Faults.Leaving = true
@@ -156,8 +157,8 @@
 	<-r.done
 }
 
-// countConnection holds the runner to its limit of connections: one too many
-// is closed before a byte of it is read.
+// countConnection enforces the limit of connections: one beyond it is closed before any byte
+// of it is read.
 func (r *Runner) countConnection(c net.Conn, state http.ConnState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -175,8 +176,8 @@
 }
 
 func (r *Runner) serve(w http.ResponseWriter, q *http.Request) {
-	// The body is read before the request counts as run: a request that did
-	// not arrive whole is not worked on.
+	// The body is read before the request counts as run: a request that did not arrive whole
+	// is not processed.
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -221,13 +222,13 @@
 	_, _ = w.Write(data)
 }
 
-// acquireSlot takes a slot for a request that is meant for a runner, or says why it is
-// refused.
-func (r *Runner) acquireSlot(meant mothferry.TaskID) (RunnerFaults, mothferry.Refusal) {
+// acquireSlot takes a slot for a request that is meant for a runner, or returns why the
+// request is refused.
+func (r *Runner) acquireSlot(intended mothferry.TaskID) (RunnerFaults, mothferry.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case meant != "" && meant != r.Task:
+	case intended != "" && intended != r.Task:
 		r.status.Refused++
 		return r.status.Faults, mothferry.RefusalOtherRunner
 	case r.status.Faults.Leaving:
--- a/mfstandin/server.go
+++ b/mfstandin/server.go
@@ -15,21 +15,21 @@
 	"mothferry/mfplatform"
 )
 
-// Faults are the switches of the platform's stand-in.
+// Faults are the injected faults of the platform.
 type Faults struct {
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// Down refuses every call.
+	// Down fails every call without an answer.
 	Down bool `json:"down"`
-	// LoseReplies is how many of the next changes take effect without a reply.
+	// LoseReplies is the number of following commits that take effect without a reply.
 	LoseReplies int `json:"lose_replies"`
 	// ListLag is how long the host list shows an old state.
 	ListLag time.Duration `json:"list_lag"`
-	// AbruptStop makes workers kill a task that they are asked to stop.
+	// AbruptStop makes workers kill a task instead of stopping it.
 	AbruptStop bool `json:"abrupt_stop"`
 }
 
-// Server is the platform's stand-in with its switches.
+// Server is an in-memory platform with injected faults.
 type Server struct {
 	Table   *Table
 	Objects *Objects
@@ -49,7 +49,7 @@
 	Capacity     mothferry.Resources
 }
 
-// New returns a stand-in with the fleet's hosts and their rows.
+// New returns a platform with the fleet's hosts and their rows.
 func New(clock mothferry.Clock, fleet Fleet) (*Server, error) {
 	s := &Server{
 		Table:   &Table{Clock: clock},
@@ -89,7 +89,7 @@
 	return records
 }
 
-// SetFaults sets the switches.
+// SetFaults sets the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mutex.Lock()
 	s.faults = f
@@ -97,7 +97,8 @@
 	s.Workers.Configure(f.ListLag, f.AbruptStop)
 }
 
-// Handler serves the platform's interface and, under /standin/, the switches.
+// Handler serves the platform's interface and, under /standin/, the calls that set faults and
+// read counts.
 func (s *Server) Handler() http.Handler {
 	platform := mfplatform.Handler(mothferry.Platform{
 		Table: s.Table, Objects: s.Objects, Hosts: s.Workers, Workers: s.Workers, Pools: s.Workers,
@@ -127,13 +128,13 @@
 	return mux
 }
 
-// injectFaults applies the switches to calls of the platform's interface.
+// injectFaults applies the injected faults to calls of the platform's interface.
 func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		f := s.faults
-		lose := f.LoseReplies > 0 && r.URL.Path == "/table/commit"
-		if lose {
+		loseReply := f.LoseReplies > 0 && r.URL.Path == "/table/commit"
+		if loseReply {
 			s.faults.LoseReplies--
 		}
 		s.mutex.Unlock()
@@ -141,7 +142,7 @@
 		if f.Down {
 			panic(http.ErrAbortHandler)
 		}
-		if lose {
+		if loseReply {
 			next.ServeHTTP(discard{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
@@ -149,7 +150,7 @@
 	})
 }
 
-// discard is a response that goes nowhere.
+// discard is a response writer that discards everything.
 type discard struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
--- a/mfstandin/table.go
+++ b/mfstandin/table.go
@@ -1,6 +1,6 @@
-// Package mfstandin takes the place of the platform and of the upstream
-// runners in tests and in the demo: a transactional table, an object store, a
-// lagging host list, workers with runners, and switches for their faults.
+// Package mfstandin stands in for the platform and the upstream runners in tests and in the
+// demo. It has an in-memory transactional table, an object store, a host list that lags, and
+// workers with runners, all with injectable faults.
 package mfstandin
 
 import (
@@ -18,8 +18,8 @@
 
 	mutex sync.Mutex
 	rows  map[mothferry.Key]mothferry.Row
-	// lastVersion is the largest version given out. Versions are never used twice, so
-	// that a row deleted and made anew is not taken for the old one.
+	// lastVersion is the largest version assigned. Versions are never reused, so that a row
+	// that was deleted and created again is not taken for the old one.
 	lastVersion mothferry.Version
 	writes      int
 	reads       int
@@ -31,7 +31,7 @@
 	Writes int `json:"writes"`
 }
 
-// Load returns the calls served so far.
+// Load returns the counts of the calls served so far.
 func (t *Table) Load() TableLoad {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/mfstandin/taskworker.go
+++ b/mfstandin/taskworker.go
@@ -9,15 +9,14 @@
 	"mothferry/mfsched"
 )
 
-// TaskWorker is a stand-in of one worker that runs tasks of jobs, and of the
-// machine that it lives on. It refuses what epochs and run numbers forbid, and
-// notes tasks that were started though they had run. The exported fields are set
-// before use.
+// TaskWorker is one worker that runs tasks of jobs, and the machine that it runs on. It
+// refuses orders with a stale epoch and records tasks that were started although they ran or
+// had run. The exported fields are set before use.
 type TaskWorker struct {
 	Service mothferry.ServiceID
-	// TaskTime is how long each task runs.
+	// TaskTime is the time of each task.
 	TaskTime time.Duration
-	// Cores is what the worker has.
+	// Cores is the worker's capacity.
 	Cores mothferry.Millicores
 	Clock mothferry.Clock
 
@@ -30,17 +29,17 @@
 	startedTwice []mothferry.TaskName
 }
 
-// taskWorkerID is the one life that the stand-in's worker has.
+// taskWorkerID is the id of the worker's only incarnation.
 const taskWorkerID mothferry.WorkerID = "worker-1"
 
-// StartedTwice returns the tasks that were started though they ran, or had run.
+// StartedTwice returns the tasks that were started although they ran or had run.
 func (w *TaskWorker) StartedTwice() []mothferry.TaskName {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return append([]mothferry.TaskName{}, w.startedTwice...)
 }
 
-// EndedTasks returns how many tasks have ended.
+// EndedTasks returns the number of tasks that have ended.
 func (w *TaskWorker) EndedTasks() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -51,7 +50,7 @@
 	return mothferry.WorkerClock(w.Clock.Now().UnixNano())
 }
 
-// checkEpoch takes an order's epoch in; the worker is locked.
+// checkEpoch refuses a stale epoch and records a newer one. The mutex is held.
 func (w *TaskWorker) checkEpoch(epoch mothferry.Epoch) error {
 	if epoch < w.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
@@ -70,7 +69,7 @@
 	if w.running == nil {
 		w.running, w.done = map[mothferry.TaskName]mothferry.RunNumber{}, map[mothferry.TaskName]int{}
 	}
-	if _, there := w.running[o.Task]; there || w.done[o.Task] > 0 {
+	if _, running := w.running[o.Task]; running || w.done[o.Task] > 0 {
 		w.startedTwice = append(w.startedTwice, o.Task)
 	}
 	w.running[o.Task] = o.Run
@@ -87,7 +86,8 @@
 	w.ends = append(w.ends, mothferry.EndedTask{Number: w.lastEnd, Task: task, Run: run, Cause: mothferry.EndDone})
 }
 
-// Stop implements mothferry.TaskWorkers. Tasks are so short that they just end.
+// Stop implements mothferry.TaskWorkers. Tasks are so short that they are left to end by
+// themselves.
 func (w *TaskWorker) Stop(_ context.Context, _ mothferry.WorkerAddress, _ mothferry.TaskName, _ mothferry.RunNumber, epoch mothferry.Epoch) (mothferry.WorkerClock, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -119,7 +119,7 @@
 	return report, nil
 }
 
-// Run lists the worker, as the platform's list would.
+// Run reports the worker, as the platform's list of workers does.
 func (w *TaskWorker) Run(ctx context.Context, apply func(changed []mfsched.Worker, gone []mothferry.WorkerID, whole bool)) error {
 	apply([]mfsched.Worker{{
 		At:      mothferry.WorkerAddress{Worker: taskWorkerID, Address: "127.0.0.1:1"},
@@ -138,12 +138,12 @@
 	return []mothferry.Machine{{Machine: "machine-1", Pool: w.Service, State: mothferry.MachineUp, Worker: taskWorkerID, Capacity: w.capacity()}}, nil
 }
 
-// Move implements mothferry.Machines; the one machine stays.
+// Move implements mothferry.Machines. It refuses every move.
 func (w *TaskWorker) Move(context.Context, mothferry.MachineID, mothferry.ServiceID, mothferry.MachineFence) error {
 	return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalMachineBusy}
 }
 
-// StartMaintenance implements mothferry.Machines; the one machine stays.
+// StartMaintenance implements mothferry.Machines. It refuses all maintenance.
 func (w *TaskWorker) StartMaintenance(context.Context, mothferry.MachineID, mothferry.WaveID, mothferry.MachineFence) error {
 	return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalMachineBusy}
 }
--- a/mfstandin/worker.go
+++ b/mfstandin/worker.go
@@ -13,25 +13,25 @@
 	"mothferry/mfhost"
 )
 
-// stopTimeout is how long a stopping runner may go on with what it has in flight.
+// stopTimeout is how long a stopping runner may continue with requests in flight.
 const stopTimeout = time.Minute
 
-// WorkerFaults are the switches of one worker.
+// WorkerFaults are the injected faults of one worker.
 type WorkerFaults struct {
-	// FailTasks makes every task fail that is started from now on.
+	// FailTasks fails every task that is started from now on.
 	FailTasks bool `json:"fail_tasks"`
-	// Dead kills the tasks and takes the worker off the host list, with its lag.
+	// Dead kills the tasks and removes the worker from the host list after the list's lag.
 	Dead bool `json:"dead"`
-	// Leaving shows the worker as leaving in the host list, with its lag.
+	// Leaving lists the worker as leaving after the list's lag.
 	Leaving bool `json:"leaving"`
 }
 
-// Workers is the stand-in of the workers, their pools and the host list.
+// Workers stands in for the workers, their pools and the host list.
 type Workers struct {
 	Clock mothferry.Clock
-	// StartDelay is how long a task takes until it serves.
+	// StartDelay is the time from a task's start until it serves.
 	StartDelay time.Duration
-	// Address is the IP number at which runners listen.
+	// Address is the IP address at which runners listen.
 	Address string
 	Journal Journal
 
@@ -46,7 +46,7 @@
 	record mfhost.Record
 	faults WorkerFaults
 	tasks  map[mothferry.TaskID]*task
-	// previousFaults and changed give the host list its lag.
+	// The host list shows previousFaults until its lag has passed since faultsChangedAt.
 	previousFaults  WorkerFaults
 	faultsChangedAt time.Time
 }
@@ -68,15 +68,15 @@
 	w.workers[r.Host] = &worker{record: r, tasks: map[mothferry.TaskID]*task{}}
 }
 
-// Configure sets how long the host list shows an old state, and whether
-// tasks are killed when they are asked to stop.
+// Configure sets how long the host list shows an old state, and whether tasks are killed
+// instead of stopped.
 func (w *Workers) Configure(lag time.Duration, abrupt bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.listLag, w.abruptStop = lag, abrupt
 }
 
-// SetFaults sets the switches of one worker.
+// SetFaults sets the injected faults of one worker.
 func (w *Workers) SetFaults(host mothferry.HostID, f WorkerFaults) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -136,15 +136,15 @@
 	defer w.mutex.Unlock()
 	var hosts []mothferry.ListedHost
 	for id, k := range w.workers {
-		seen := k.faults
+		shown := k.faults
 		if w.Clock.Now().Sub(k.faultsChangedAt) < w.listLag {
-			seen = k.previousFaults
+			shown = k.previousFaults
 		}
-		if k.record.DataCentre != dc || seen.Dead {
+		if k.record.DataCentre != dc || shown.Dead {
 			continue
 		}
 		state := mothferry.HostLive
-		if seen.Leaving {
+		if shown.Leaving {
 			state = mothferry.HostLeaving
 		}
 		hosts = append(hosts, mothferry.ListedHost{Host: id, State: state})
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// fencedWorker finds a worker and refuses an epoch older than the latest seen.
+// fencedWorker returns a worker. It refuses an epoch older than the latest one of the shard.
 func (w *Workers) fencedWorker(host mothferry.HostID, f mothferry.Fence) (*worker, error) {
 	k, ok := w.workers[host]
 	if !ok || k.faults.Dead {
