--- a/mfemulate/admission_test.go
+++ b/mfemulate/admission_test.go
@@ -21,7 +21,8 @@
 	others, hot mfemulate.AccountStats
 }
 
-// tooLateOrFailedFraction returns the fraction of the accepted jobs that failed or finished too late.
+// tooLateOrFailedFraction returns the fraction of the accepted jobs that failed or finished too
+// late.
 func (s accountResults) tooLateOrFailedFraction() float64 {
 	return float64(s.others.TooLateOrFailed+s.hot.TooLateOrFailed) / float64(s.others.Accepted+s.hot.Accepted)
 }
@@ -39,18 +40,18 @@
 	change(&load)
 	var s accountResults
 	for seed := range uint64(2) {
-		f, asked := mfemulate.PlayAccounts(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true, Off: off})
+		f, stats := mfemulate.PlayAccounts(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true, Off: off})
 		assert.Equal(t, f.Violations, 0)
-		s.add(asked)
+		s.add(stats)
 	}
 	t.Logf("without %v: on time %.3f of the others' jobs, failed or too late %.3f of the accepted jobs; others %+v, hot %+v", off, s.onTimeFraction(), s.tooLateOrFailedFraction(), s.others, s.hot)
 	return s
 }
 
 // add adds the counts of one play.
-func (s *accountResults) add(asked map[mothferry.AccountID]mfemulate.AccountStats) {
-	for _, id := range slices.Sorted(maps.Keys(asked)) {
-		to, a := &s.others, asked[id]
+func (s *accountResults) add(stats map[mothferry.AccountID]mfemulate.AccountStats) {
+	for _, id := range slices.Sorted(maps.Keys(stats)) {
+		to, a := &s.others, stats[id]
 		if id == "hot" {
 			to = &s.hot
 		}
@@ -110,16 +111,16 @@
 	w.Run(80 * time.Second)
 	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	assert.Equal(t, w.Unfinished(), 0)
-	asked := w.AccountStats()
-	t.Logf("%+v", asked)
-	return asked
+	stats := w.AccountStats()
+	t.Logf("%+v", stats)
+	return stats
 }
 
 // checkServed asserts that the steady account was served and that few accepted jobs of the
 // eager account finished too late.
-func checkServed(t *testing.T, asked map[mothferry.AccountID]mfemulate.AccountStats, onTime, maxTooLateOrFailed float64) {
+func checkServed(t *testing.T, stats map[mothferry.AccountID]mfemulate.AccountStats, onTime, maxTooLateOrFailed float64) {
 	t.Helper()
-	steady, eager := asked["steady"], asked["eager"]
+	steady, eager := stats["steady"], stats["eager"]
 	assert.Assert(t, float64(steady.OnTime) >= onTime*float64(steady.Jobs), "%+v", steady)
 	assert.Assert(t, float64(eager.TooLateOrFailed) <= maxTooLateOrFailed*float64(eager.Accepted), "%+v", eager)
 }
@@ -128,9 +129,9 @@
 // refused while workers are free.
 func TestSustainedOverload(t *testing.T) {
 	t.Parallel()
-	asked := playOverload(t, 1, func(*mfemulate.World) {})
-	checkServed(t, asked, 0.9, 0.15)
-	refused, whileFree := asked["eager"].Refusals+asked["steady"].Refusals, asked["eager"].RefusedWithCapacity+asked["steady"].RefusedWithCapacity
+	stats := playOverload(t, 1, func(*mfemulate.World) {})
+	checkServed(t, stats, 0.9, 0.15)
+	refused, whileFree := stats["eager"].Refusals+stats["steady"].Refusals, stats["eager"].RefusedWithCapacity+stats["steady"].RefusedWithCapacity
 	assert.Assert(t, refused > 50)
 	assert.Assert(t, float64(whileFree) <= 0.05*float64(refused), "%d of %d", whileFree, refused)
 }
@@ -147,10 +148,10 @@
 // A host that cannot read the owner's head must not refuse jobs forever by an old allocation.
 func TestHostWithStaleHeadAcceptsJobs(t *testing.T) {
 	t.Parallel()
-	asked := playOverload(t, 3, func(w *mfemulate.World) {
+	stats := playOverload(t, 3, func(w *mfemulate.World) {
 		w.At(6*time.Second, func() { w.PauseHeadReads(0, 20*time.Second) })
 	})
-	checkServed(t, asked, 0.8, 0.35)
+	checkServed(t, stats, 0.8, 0.35)
 }
 
 // A host that has just restarted must count neither all of an account's jobs as its own nor
--- a/mfemulate/crash_test.go
+++ b/mfemulate/crash_test.go
@@ -23,11 +23,11 @@
 	t.Parallel()
 	load, err := mfemulate.DecodeLoad("crashing.yaml", mfexample.Crashing)
 	assert.NilError(t, err)
-	calm := load
-	calm.Faults = mfemulate.LoadFaults{}
+	withoutCrashes := load
+	withoutCrashes.Faults = mfemulate.LoadFaults{}
 	for seed := range uint64(3) {
 		f := mfemulate.Play(load, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
-		without := mfemulate.Play(calm, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
+		without := mfemulate.Play(withoutCrashes, mfemulate.Options{Limits: limits(), Seed: seed + 1, Moves: true})
 		t.Logf("seed %d: weighted on-time fraction %.3f, without crashing tasks %.3f; %d of %d jobs with a crashing task, %d crashes, %d unrelated failures",
 			seed+1, f.WeightedOnTime, without.WeightedOnTime, f.CrashingJobs, f.Jobs, f.Crashes, f.UnrelatedFailures)
 		assert.Equal(t, f.Violations, 0)
--- a/mfemulate/degraded.go
+++ b/mfemulate/degraded.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// SlowWorker multiplies the time of all tasks of a machine's worker by times for d.
+// SlowWorker multiplies the time of all tasks of a machine's worker by factor for d.
 func (w *World) SlowWorker(index int, factor float64, d time.Duration) {
 	w.degradeWorker(index, d, func(k *worker) { k.setPace(1 / factor) }, func(k *worker) { k.setPace(1) })
 }
--- a/mfemulate/fleet.go
+++ b/mfemulate/fleet.go
@@ -195,7 +195,7 @@
 	done        []mothferry.MachineID
 }
 
-// RequestMaintenance requests maintenance of some machines within a time, at most atOnce in
+// RequestMaintenance requests maintenance of some machines within a time, at most maxDown in
 // parallel.
 func (w *World) RequestMaintenance(indexes []int, within time.Duration, maxDown int) {
 	id := mothferry.WaveID(len(w.waves) + 1)
--- a/mfemulate/owner.go
+++ b/mfemulate/owner.go
@@ -75,15 +75,15 @@
 	o.controlMachines()
 }
 
-// KillOwner ends the owner; a new one takes over after vacant.
+// KillOwner ends the owner; a new one takes over after takeoverDelay.
 func (w *World) KillOwner(takeoverDelay time.Duration) {
 	w.owner.dead = true
 	w.extendFault(w.now.Add(takeoverDelay))
 	w.after(takeoverDelay, w.TakeOver)
 }
 
-// FreezeOwner suspends the owner for frozen while a new one takes over after vacant. It then
-// continues with its old state.
+// FreezeOwner suspends the owner for frozen while a new one takes over after takeoverDelay. It
+// then continues with its old state.
 func (w *World) FreezeOwner(takeoverDelay, frozen time.Duration) {
 	o := w.owner
 	o.frozen = true
@@ -100,7 +100,7 @@
 }
 
 // PartitionOwner cuts the owner off from the store, but not from workers; a new one takes over
-// after vacant.
+// after takeoverDelay.
 func (w *World) PartitionOwner(takeoverDelay time.Duration) {
 	w.owner.partitioned = true
 	w.extendFault(w.now.Add(takeoverDelay))
--- a/mfemulate/store.go
+++ b/mfemulate/store.go
@@ -22,7 +22,7 @@
 		o.headVersion = r.Version
 	}
 	if !o.writeHead(nil) {
-		w.violation("rewrite head: the shard has another owner")
+		w.violation("rewrite head: commit failed")
 	}
 	log := w.storedRows(mfrecord.TableLog)
 	if len(log) == 0 {
--- a/mfemulate/worker.go
+++ b/mfemulate/worker.go
@@ -169,14 +169,14 @@
 }
 
 // poll executes a poll.
-func (o *worker) poll(order mothferry.PollOrder, answer func(mothferry.PollReport), broken func()) error {
+func (o *worker) poll(order mothferry.PollOrder, answer func(mothferry.PollReport), connectionLost func()) error {
 	if order.Epoch < o.epoch {
 		return &mothferry.ErrOrderRefused{Refusal: mothferry.RefusalEpoch}
 	}
 	o.epoch = order.Epoch
 	o.extendLease(order.Until)
 	o.ends = slices.DeleteFunc(o.ends, func(e mothferry.EndedTask) bool { return e.Number <= order.LastEndSeen })
-	l := &waitingPoll{answer: answer, connectionLost: broken}
+	l := &waitingPoll{answer: answer, connectionLost: connectionLost}
 	if len(o.ends) > 0 || order.Wait == 0 {
 		o.answerPoll(l)
 		return nil
@@ -290,8 +290,8 @@
 	if !slices.Contains(w.startedOn[order.Task], o) {
 		w.startedOn[order.Task] = append(w.startedOn[order.Task], o)
 	}
-	// A late order may also start a run after an earlier one turned out done: it was sent when
-	// the earlier run's lease had expired.
+	// Late orders are exempt. Such a start may have been sent when an earlier run's lease had
+	// expired, and be executed after that run turned out done.
 	if !w.lateOrder && c.done[order.Task] && !step.Lasting && w.storedAsDone(order.Task) && !(step.Speculative && w.now.Sub(c.doneAt[order.Task]) < copyStartGrace) {
 		w.violation("task %v run %d starts after it was done", order.Task, order.Run)
 	}
